--- a/crates/cli/src/commands/execution.rs
+++ b/crates/cli/src/commands/execution.rs
@@ -1,7 +1,7 @@
 use std::{path::Path, sync::Arc, time::Duration};
 
 use hawthornstack_decisions::{
-    control::{AuditRecord, Declaration, Intent, verify_chain},
+    control_state::{AuditRecord, Declaration, Intent, verify_chain},
     identity::{DatabaseName, HostId},
     outcomes::ResultCode,
 };
--- a/crates/cli/src/commands/pages.rs
+++ b/crates/cli/src/commands/pages.rs
@@ -1,4 +1,4 @@
-use hawthornstack_decisions::control::AuditRecord;
+use hawthornstack_decisions::control_state::AuditRecord;
 use hawthornstack_wire::operators::{PlanResponse, StatusResponse};
 
 use crate::console::TextTable;
--- a/crates/daemon/src/control/control_service.rs
+++ b/crates/daemon/src/control_role/control_service.rs
@@ -8,11 +8,11 @@
 };
 
 use hawthornstack_decisions::{
-    control::AuditRecord,
-    control_host::{
+    control_role::{
         ControlEffect, ControlEvent, ControlHost, ControlNote, ControlSettings, EntryUpdate,
         OperatorOrder, OrderAnswer,
     },
+    control_state::AuditRecord,
     identity::HostId,
     instances::{InstanceDeparture, InstanceRecord},
 };
--- a/crates/daemon/src/control/journal_thread.rs
+++ b/crates/daemon/src/control_role/journal_thread.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use hawthornstack_decisions::{agreement::JournalRecord, control_host::ControlEvent};
+use hawthornstack_decisions::{agreement::JournalRecord, control_role::ControlEvent};
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::{journal::JournalFile, kernel::KernelError};
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control_role/mod.rs
@@ -1,7 +1,7 @@
 //! A control host: feeds the decisions of [`ControlHost`] and carries out
 //! their effects.
 //!
-//! [`ControlHost`]: hawthornstack_decisions::control_host::ControlHost
+//! [`ControlHost`]: hawthornstack_decisions::control_role::ControlHost
 
 mod control_service;
 mod journal_thread;
--- a/crates/daemon/src/control/peer_links.rs
+++ b/crates/daemon/src/control_role/peer_links.rs
@@ -1,7 +1,7 @@
 use std::{cell::Cell, io, rc::Rc, time::Duration};
 
 use hawthornstack_decisions::{
-    control_host::{ControlEvent, ControlMessage, EntryUpdate, LinkFrame, LinkRole},
+    control_role::{ControlEvent, ControlMessage, EntryUpdate, LinkFrame, LinkRole},
     identity::HostId,
 };
 use tokio::{
--- a/crates/daemon/src/control/status_pages.rs
+++ b/crates/daemon/src/control_role/status_pages.rs
@@ -1,6 +1,6 @@
 use hawthornstack_decisions::{
     clock::Moment,
-    control_host::ControlHost,
+    control_role::ControlHost,
     identity::{DataCentre, DatabaseName, GroupName, HostId, NameError},
     instances::{InstanceRecord, InstanceRole},
     primaries::{ServiceTerm, TermPhase},
--- a/crates/daemon/src/edges/caller_protocol.rs
+++ b/crates/daemon/src/edges/caller_protocol.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use hawthornstack_decisions::{entry::PreparedShape, positions::LogPosition};
+use hawthornstack_decisions::{entry_role::PreparedShape, positions::LogPosition};
 use snafu::Snafu;
 
 /// What a caller's statement does.
--- a/crates/daemon/src/edges/operator_edge.rs
+++ b/crates/daemon/src/edges/operator_edge.rs
@@ -1,6 +1,6 @@
 use std::{future::Future, pin::Pin, sync::Arc};
 
-use hawthornstack_decisions::control_host::PromoteResult;
+use hawthornstack_decisions::control_role::PromoteResult;
 
 /// Names the database that is to lead a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/daemon/src/edges/upstream_protocol.rs
+++ b/crates/daemon/src/edges/upstream_protocol.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hawthornstack_decisions::{
-    entry::PreparedShape, positions::LogPosition, primaries::InstanceStatus,
+    entry_role::PreparedShape, positions::LogPosition, primaries::InstanceStatus,
 };
 use snafu::Snafu;
 
--- a/crates/daemon/src/entry/caller_session.rs
+++ b/crates/daemon/src/entry_role/caller_session.rs
@@ -2,7 +2,7 @@
 
 use hawthornstack_decisions::{
     clock::Moment,
-    entry::{SessionState, TransactionPhase},
+    entry_role::{SessionState, TransactionPhase},
     instances::InstanceKey,
     positions::LogPosition,
     routes::{RouteKind, RouteRule},
--- a/crates/daemon/src/entry/control_links.rs
+++ b/crates/daemon/src/entry_role/control_links.rs
@@ -1,7 +1,7 @@
 use std::{collections::BTreeMap, io, rc::Rc, sync::Arc, time::Duration};
 
 use hawthornstack_decisions::{
-    control_host::{EntryReport, EntryUpdate, LinkFrame, LinkRole},
+    control_role::{EntryReport, EntryUpdate, LinkFrame, LinkRole},
     identity::HostId,
     primaries::{ServiceTerm, TermPhase},
 };
--- a/crates/daemon/src/entry/database_pool.rs
+++ b/crates/daemon/src/entry_role/database_pool.rs
@@ -1,7 +1,7 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use hawthornstack_decisions::{
-    entry::{InflightWindow, QueuedStatement, next_in_queue},
+    entry_role::{InflightWindow, QueuedStatement, next_in_queue},
     identity::HostId,
     instances::InstanceRecord,
     positions::LogPosition,
--- a/crates/daemon/src/entry/entry_shared.rs
+++ b/crates/daemon/src/entry_role/entry_shared.rs
@@ -8,8 +8,8 @@
 
 use hawthornstack_decisions::{
     clock::Moment,
-    control_host::EntryReport,
-    entry::{DatabasePath, EntryView, HomeLoad, choose_home},
+    control_role::EntryReport,
+    entry_role::{DatabasePath, EntryView, HomeLoad, choose_home},
     identity::HostId,
     instances::{InstanceKey, InstanceRecord},
 };
--- a/crates/daemon/src/entry/forward_task.rs
+++ b/crates/daemon/src/entry_role/forward_task.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hawthornstack_decisions::{
-    entry::{QueuedStatement, SessionState},
+    entry_role::{QueuedStatement, SessionState},
     instances::InstanceRecord,
     positions::LogPosition,
 };
--- a/crates/daemon/src/entry/primary_probe.rs
+++ b/crates/daemon/src/entry_role/primary_probe.rs
@@ -1,6 +1,6 @@
 use std::{net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
-use hawthornstack_decisions::control_host::EntryReport;
+use hawthornstack_decisions::control_role::EntryReport;
 use tokio::{
     net::TcpStream,
     time::{Instant, sleep, timeout},
--- a/crates/daemon/src/entry/statement_run.rs
+++ b/crates/daemon/src/entry_role/statement_run.rs
@@ -2,7 +2,7 @@
 
 use hawthornstack_decisions::{
     clock::Moment,
-    entry::{PrimaryUse, QueuedStatement, ReadTarget, RestoreStep, SessionState},
+    entry_role::{PrimaryUse, QueuedStatement, ReadTarget, RestoreStep, SessionState},
     instances::{InstanceKey, InstanceRecord},
     positions::LogPosition,
     routes::{RouteKind, RouteRule},
--- a/crates/daemon/src/entry/transaction_run.rs
+++ b/crates/daemon/src/entry_role/transaction_run.rs
@@ -1,6 +1,6 @@
 use hawthornstack_decisions::{
     clock::Moment,
-    entry::TransactionPhase,
+    entry_role::TransactionPhase,
     instances::InstanceKey,
     routes::{RouteKind, RouteRule},
 };
--- a/crates/daemon/src/entry/upstream_link.rs
+++ b/crates/daemon/src/entry_role/upstream_link.rs
@@ -1,7 +1,7 @@
 use std::{io, net::SocketAddr, time::Duration};
 
 use hawthornstack_decisions::{
-    entry::{ConnectionState, RestoreStep},
+    entry_role::{ConnectionState, RestoreStep},
     instances::InstanceRecord,
     positions::LogPosition,
 };
--- a/crates/daemon/src/journal/journal_service.rs
+++ b/crates/daemon/src/journal/journal_service.rs
@@ -1,10 +1,10 @@
 use std::sync::{Arc, Mutex};
 
-use hawthornstack_decisions::{agreement::JournalRecord, host::HostEvent};
+use hawthornstack_decisions::{agreement::JournalRecord, pg_host::HostEvent};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 
 use super::JournalFile;
-use crate::host::HostMessage;
+use crate::pg_host::HostMessage;
 
 /// Requests to the journal.
 #[derive(Debug)]
--- a/crates/daemon/src/kernel/daemon_kernel.rs
+++ b/crates/daemon/src/kernel/daemon_kernel.rs
@@ -1,6 +1,6 @@
 use std::{net::SocketAddr, time::Duration};
 
-use hawthornstack_decisions::{host::HostEvent, sessions::TokenKey};
+use hawthornstack_decisions::{pg_host::HostEvent, sessions::TokenKey};
 use ractor::{Actor, ActorCell, ActorRef};
 use snafu::ResultExt;
 use tokio::{net::TcpListener, sync::watch, time::MissedTickBehavior};
@@ -11,14 +11,14 @@
     kernel_error::{ListenSnafu, MetricsSnafu, SpawnSnafu},
 };
 use crate::{
-    callers::{CallerContext, CallerListener, CancelRegistry, ForwardStore, KeyedGroups},
-    host::{HostArguments, HostMessage, HostService, RequestNumbers, voter_addresses},
     journal::{JournalArguments, JournalFile, JournalService},
     metrics::DaemonMetrics,
-    operators::{OperatorContext, operator_routes},
-    peers::{PeersArguments, PeersService},
+    pg_callers::{CallerContext, CallerListener, CancelRegistry, ForwardStore, KeyedGroups},
+    pg_host::{HostArguments, HostMessage, HostService, RequestNumbers, voter_addresses},
+    pg_operators::{OperatorContext, operator_routes},
+    pg_peers::{PeersArguments, PeersService},
+    pg_upstreams::{ConnectionStore, UpstreamsArguments, UpstreamsService},
     settings::DaemonSettings,
-    upstreams::{ConnectionStore, UpstreamsArguments, UpstreamsService},
 };
 
 /// Time between ticks of the decisions.
--- a/crates/daemon/src/links/frame_link.rs
+++ b/crates/daemon/src/links/frame_link.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
-use hawthornstack_decisions::control_host::LinkFrame;
+use hawthornstack_decisions::control_role::LinkFrame;
 use tokio::{
     net::{
         TcpStream,
--- a/crates/daemon/src/callers/caller_listener.rs
+++ b/crates/daemon/src/pg_callers/caller_listener.rs
@@ -11,9 +11,9 @@
 
 use super::{CancelRegistry, ForwardStore, caller_session::CallerSession};
 use crate::{
-    host::{HostMessage, RequestNumbers},
     kernel::HostClock,
-    upstreams::ConnectionStore,
+    pg_host::{HostMessage, RequestNumbers},
+    pg_upstreams::ConnectionStore,
 };
 
 /// Time for which idle callers may stay once callers are to leave.
--- a/crates/daemon/src/callers/caller_session.rs
+++ b/crates/daemon/src/pg_callers/caller_session.rs
@@ -1,9 +1,9 @@
 use std::sync::Arc;
 
 use hawthornstack_decisions::{
-    host::ExecutionReport,
     identity::{GroupName, SessionId},
     outcomes::ResultCode,
+    pg_host::ExecutionReport,
     statements::{SETTING_PREFIX, StatementClass, classify, read_hints},
 };
 use pgwire::messages::{PgWireFrontendMessage, SslNegotiationMetaMessage, startup::Startup};
@@ -21,7 +21,7 @@
     request_runner::{RequestRunner, RequestWork, RunEnd, perform},
     transaction::{TransactionPlace, TransactionState},
 };
-use crate::upstreams::FORWARD_PARAMETER;
+use crate::pg_upstreams::FORWARD_PARAMETER;
 
 /// Time within which a caller must finish its start-up.
 const STARTUP_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
--- a/crates/daemon/src/callers/extended_batch.rs
+++ b/crates/daemon/src/pg_callers/extended_batch.rs
@@ -9,7 +9,7 @@
     answer_writer::AnswerWriter,
     caller_state::{CallerState, PreparedStatement},
 };
-use crate::upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_frontend};
+use crate::pg_upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_frontend};
 
 /// Byte that names a statement in `Describe` and `Close`.
 const STATEMENT_TARGET: u8 = b'S';
--- a/crates/daemon/src/callers/forward_runner.rs
+++ b/crates/daemon/src/pg_callers/forward_runner.rs
@@ -1,7 +1,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bytes::BytesMut;
-use hawthornstack_decisions::{host::HomeAddress, outcomes::ResultCode};
+use hawthornstack_decisions::{outcomes::ResultCode, pg_host::HomeAddress};
 use tokio::time::timeout;
 
 use super::{
@@ -12,7 +12,7 @@
     request_runner::{RequestRunner, RequestWork, RunEnd, WorkAnswer, encode_work, relay_work},
     transaction::{OpenTransaction, TransactionPlace},
 };
-use crate::upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_query};
+use crate::pg_upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_query};
 
 /// Time that a home gets beyond the statement's own timeout.
 const FORWARD_MARGIN: Duration = Duration::from_millis(500);
--- a/crates/daemon/src/callers/forward_store.rs
+++ b/crates/daemon/src/pg_callers/forward_store.rs
@@ -5,12 +5,12 @@
 };
 
 use hawthornstack_decisions::{
-    host::HomeAddress,
     identity::{GroupName, HostId},
+    pg_host::HomeAddress,
 };
 use tokio::time::Instant;
 
-use crate::upstreams::{UpstreamConnection, UpstreamError};
+use crate::pg_upstreams::{UpstreamConnection, UpstreamError};
 
 /// Idle connections kept to all homes together.
 const MAX_IDLE: usize = 256;
--- a/crates/daemon/src/callers/keyed_request.rs
+++ b/crates/daemon/src/pg_callers/keyed_request.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use hawthornstack_decisions::{
-    host::ExecutionReport, outcomes::ResultCode, positions::LogPosition, requests::RequestKind,
+    outcomes::ResultCode, pg_host::ExecutionReport, positions::LogPosition, requests::RequestKind,
     statements::strip_hints,
 };
 use hawthornstack_wire::reports::POSITION_STATEMENT;
@@ -14,8 +14,8 @@
     request_runner::{RequestRunner, RequestWork, RunEnd, perform},
 };
 use crate::{
-    host::{RequestHandle, RequestSignal},
-    upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_query},
+    pg_host::{RequestHandle, RequestSignal},
+    pg_upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_query},
 };
 
 /// Table in each group that keeps the answers of keyed requests.
--- a/crates/daemon/src/callers/request_runner.rs
+++ b/crates/daemon/src/pg_callers/request_runner.rs
@@ -2,9 +2,9 @@
 
 use bytes::BytesMut;
 use hawthornstack_decisions::{
-    host::{Conclusion, ExecutionReport},
     identity::DatabaseName,
     outcomes::ResultCode,
+    pg_host::{Conclusion, ExecutionReport},
     requests::{RequestArrival, RequestKind},
 };
 use hawthornstack_wire::reports::POSITION_STATEMENT;
@@ -20,8 +20,8 @@
     transaction::{OpenTransaction, TransactionPlace},
 };
 use crate::{
-    host::{RequestHandle, RequestSignal},
-    upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_query},
+    pg_host::{RequestHandle, RequestSignal},
+    pg_upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_query},
 };
 
 /// SQLSTATE of a database that does not accept writes.
--- a/crates/daemon/src/callers/transaction.rs
+++ b/crates/daemon/src/pg_callers/transaction.rs
@@ -2,7 +2,7 @@
 
 use hawthornstack_decisions::identity::{DatabaseName, HostId};
 
-use crate::{host::RequestHandle, upstreams::UpstreamConnection};
+use crate::{pg_host::RequestHandle, pg_upstreams::UpstreamConnection};
 
 /// Where a transaction's connection leads.
 #[derive(Debug)]
--- a/crates/daemon/src/host/host_message.rs
+++ b/crates/daemon/src/pg_host/host_message.rs
@@ -1,9 +1,9 @@
 use std::net::SocketAddr;
 
 use hawthornstack_decisions::{
-    control::AuditRecord,
-    host::{Conclusion, HomeAddress, HostEvent, OperatorAnswer, OperatorQuestion},
+    control_state::AuditRecord,
     identity::DatabaseName,
+    pg_host::{Conclusion, HomeAddress, HostEvent, OperatorAnswer, OperatorQuestion},
     requests::RequestArrival,
 };
 use hawthornstack_wire::operators::StatusResponse;
--- a/crates/daemon/src/host/host_service.rs
+++ b/crates/daemon/src/pg_host/host_service.rs
@@ -3,8 +3,8 @@
 use hawthornstack_decisions::{
     agreement::JournalRecord,
     clock::Moment,
-    host::{HostEffect, HostEvent, HostSettings, HostState, OperatorAnswer, OperatorQuestion},
     identity::{HostId, RequestId},
+    pg_host::{HostEffect, HostEvent, HostSettings, HostState, OperatorAnswer, OperatorQuestion},
 };
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::{mpsc::UnboundedSender, oneshot, watch};
@@ -14,8 +14,8 @@
     journal::JournalMessage,
     kernel::{HostClock, ServiceName},
     metrics::DaemonMetrics,
-    peers::PeersMessage,
-    upstreams::UpstreamsMessage,
+    pg_peers::PeersMessage,
+    pg_upstreams::UpstreamsMessage,
 };
 
 /// Holds the host's decisions; every event passes through it, in order.
--- a/crates/daemon/src/host/request_handle.rs
+++ b/crates/daemon/src/pg_host/request_handle.rs
@@ -4,9 +4,9 @@
 };
 
 use hawthornstack_decisions::{
-    host::{Conclusion, ExecutionReport, HostEvent},
     identity::RequestId,
     outcomes::ResultCode,
+    pg_host::{Conclusion, ExecutionReport, HostEvent},
     requests::RequestArrival,
 };
 use ractor::ActorRef;
--- a/crates/daemon/src/host/status_page.rs
+++ b/crates/daemon/src/pg_host/status_page.rs
@@ -1,9 +1,9 @@
 use hawthornstack_decisions::{
     clock::Moment,
-    control::{GroupPhase, GroupRecord, MemberRecord, MemberStanding},
+    control_state::{GroupPhase, GroupRecord, MemberRecord, MemberStanding},
     directory::{DatabaseRole, DatabaseView},
-    host::{GroupView, HostState},
     identity::HostId,
+    pg_host::{GroupView, HostState},
 };
 use hawthornstack_wire::operators::{GroupStatus, HostStatus, MemberStatus, StatusResponse};
 
--- a/crates/daemon/src/operators/operator_routes.rs
+++ b/crates/daemon/src/pg_operators/operator_routes.rs
@@ -8,11 +8,11 @@
     routing::{get, post},
 };
 use hawthornstack_decisions::{
-    control::ControlAnswer,
+    control_state::ControlAnswer,
     directory::Announcement,
-    host::{HostEvent, OperatorAnswer, OperatorQuestion},
     identity::HostId,
     outcomes::ResultCode,
+    pg_host::{HostEvent, OperatorAnswer, OperatorQuestion},
 };
 use hawthornstack_wire::operators::{
     ANNOUNCE_PATH, AUDIT_PATH, CONFIRM_PATH, ConfirmRequest, ConfirmResponse, ErrorResponse,
@@ -25,7 +25,7 @@
 };
 use tokio_util::sync::CancellationToken;
 
-use crate::{host::HostMessage, metrics::DaemonMetrics};
+use crate::{metrics::DaemonMetrics, pg_host::HostMessage};
 
 /// Time for the host to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
--- a/crates/daemon/src/peers/peer_link.rs
+++ b/crates/daemon/src/pg_peers/peer_link.rs
@@ -2,8 +2,8 @@
 
 use futures::{SinkExt, StreamExt, stream::SplitSink, stream::SplitStream};
 use hawthornstack_decisions::{
-    host::{HostEvent, PeerMessage},
     identity::HostId,
+    pg_host::{HostEvent, PeerMessage},
 };
 use hawthornstack_wire::peers::{MAX_FRAME_BYTES, PeerFrame};
 use ractor::ActorRef;
@@ -20,8 +20,8 @@
 
 use super::PeersMessage;
 use crate::{
-    host::HostMessage,
     metrics::{DaemonMetrics, TrafficDirection},
+    pg_host::HostMessage,
 };
 
 /// Messages that may wait for a link before new ones are dropped.
--- a/crates/daemon/src/peers/peers_service.rs
+++ b/crates/daemon/src/pg_peers/peers_service.rs
@@ -1,12 +1,12 @@
 use std::{collections::HashMap, net::SocketAddr};
 
-use hawthornstack_decisions::{host::PeerMessage, identity::HostId};
+use hawthornstack_decisions::{identity::HostId, pg_host::PeerMessage};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::{net::TcpListener, sync::mpsc::Sender};
 use tokio_util::sync::CancellationToken;
 
 use super::peer_link::{LinkContext, PeerLink};
-use crate::{host::HostMessage, metrics::DaemonMetrics};
+use crate::{metrics::DaemonMetrics, pg_host::HostMessage};
 
 /// Requests to the peers service.
 #[derive(Debug)]
--- a/crates/daemon/src/upstreams/database_monitor.rs
+++ b/crates/daemon/src/pg_upstreams/database_monitor.rs
@@ -1,7 +1,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use hawthornstack_decisions::{
-    directory::DatabaseStatus, failover::DatabaseOrder, host::HostEvent, identity::DatabaseName,
+    directory::DatabaseStatus, failover::DatabaseOrder, identity::DatabaseName, pg_host::HostEvent,
     positions::LogPosition,
 };
 use hawthornstack_wire::reports::{order_statement, read_report, report_statement};
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{UpstreamConnection, UpstreamError, upstream_error::ConfusedSnafu};
-use crate::{host::HostMessage, kernel::HostClock};
+use crate::{kernel::HostClock, pg_host::HostMessage};
 
 /// Longest time that a database holds a report back when nothing changes.
 const REPORT_WAIT: Duration = Duration::from_millis(50);
--- a/crates/daemon/src/upstreams/upstreams_service.rs
+++ b/crates/daemon/src/pg_upstreams/upstreams_service.rs
@@ -1,6 +1,8 @@
 use std::{collections::HashMap, net::SocketAddr};
 
-use hawthornstack_decisions::{failover::DatabaseOrder, host::HostEvent, identity::DatabaseName};
+use hawthornstack_decisions::{
+    failover::DatabaseOrder, identity::DatabaseName, pg_host::HostEvent,
+};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio_util::sync::CancellationToken;
 
@@ -8,7 +10,7 @@
     ConnectionStore,
     database_monitor::{DatabaseMonitor, give_order},
 };
-use crate::{host::HostMessage, kernel::HostClock};
+use crate::{kernel::HostClock, pg_host::HostMessage};
 
 /// Requests to the upstreams service.
 #[derive(Debug)]
--- a/crates/daemon/src/settings/daemon_settings.rs
+++ b/crates/daemon/src/settings/daemon_settings.rs
@@ -7,9 +7,9 @@
 };
 
 use hawthornstack_decisions::{
-    control::HostRecord,
-    host::HostSettings,
+    control_state::HostRecord,
     identity::{DataCentre, HostId},
+    pg_host::HostSettings,
 };
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
--- a/crates/daemon/tests/journal_damage.rs
+++ b/crates/daemon/tests/journal_damage.rs
@@ -5,7 +5,7 @@
 use hawthornstack_daemon::journal::JournalFile;
 use hawthornstack_decisions::{
     agreement::{EntryPayload, HardState, JournalRecord, LogEntry, StateSnapshot},
-    control::{ControlCommand, ControlState},
+    control_state::{ControlCommand, ControlState},
     identity::HostId,
 };
 
--- a/crates/decisions/src/agreement/agreement_state.rs
+++ b/crates/decisions/src/agreement/agreement_state.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     clock::Moment,
-    control::{ControlCommand, ControlState},
+    control_state::{ControlCommand, ControlState},
     identity::HostId,
 };
 
--- a/crates/decisions/src/agreement/election.rs
+++ b/crates/decisions/src/agreement/election.rs
@@ -4,7 +4,7 @@
     AgreementEffect, AgreementMessage, AgreementState, EntryPayload, VoteReply, VoteRequest,
     agreement_state::{AgreementRole, FollowerProgress, LeaderState},
 };
-use crate::{clock::Moment, control::ControlCommand, identity::HostId};
+use crate::{clock::Moment, control_state::ControlCommand, identity::HostId};
 
 /// Pre-votes that a host without a leader holds in one election timeout.
 const PRE_VOTES_PER_TIMEOUT: u32 = 4;
--- a/crates/decisions/src/agreement/journal_record.rs
+++ b/crates/decisions/src/agreement/journal_record.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    control::{ControlCommand, ControlState},
+    control_state::{ControlCommand, ControlState},
     identity::HostId,
 };
 
--- a/crates/decisions/src/control_host/control_host_state.rs
+++ b/crates/decisions/src/control_role/control_host_state.rs
@@ -13,7 +13,7 @@
         JournalRecord, StateSnapshot,
     },
     clock::Moment,
-    control::{ControlCommand, ControlState},
+    control_state::{ControlCommand, ControlState},
     identity::HostId,
     instances::InstanceDirectory,
     leases::LeaseTable,
--- a/crates/decisions/src/control_host/directory_flow.rs
+++ b/crates/decisions/src/control_role/directory_flow.rs
@@ -1,7 +1,7 @@
 use super::{ControlEffect, ControlHost, ControlMessage, ControlNote, EntryUpdate};
 use crate::{
     clock::Moment,
-    control::ControlCommand,
+    control_state::ControlCommand,
     instances::{DirectoryChange, InstanceDeparture, InstanceRecord, InstanceRole},
 };
 
--- a/crates/decisions/src/control_host/entry_flow.rs
+++ b/crates/decisions/src/control_role/entry_flow.rs
@@ -5,7 +5,7 @@
 use super::{
     ControlEffect, ControlHost, EntryReport, EntryUpdate, control_host_state::EntryProgress,
 };
-use crate::{clock::Moment, control::ControlCommand, identity::HostId, routes::PackedRoutes};
+use crate::{clock::Moment, control_state::ControlCommand, identity::HostId, routes::PackedRoutes};
 
 /// Silence after which a host whose lease ran out is no longer a holder.
 const HOLDER_RETENTION: Duration = Duration::from_secs(15);
--- a/crates/decisions/src/control_host/order_flow.rs
+++ b/crates/decisions/src/control_role/order_flow.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
 use super::{ControlEffect, ControlHost, OperatorOrder, OrderAnswer};
-use crate::{clock::Moment, control::ControlCommand, routes::RouteTable};
+use crate::{clock::Moment, control_state::ControlCommand, routes::RouteTable};
 
 /// An order whose command is not committed yet.
 #[derive(Debug)]
--- a/crates/decisions/src/control_host/term_flow.rs
+++ b/crates/decisions/src/control_role/term_flow.rs
@@ -7,7 +7,7 @@
 use super::{ControlEffect, ControlHost, PromoteResult};
 use crate::{
     clock::Moment,
-    control::ControlCommand,
+    control_state::ControlCommand,
     identity::HostId,
     instances::{InstanceDeparture, InstanceKey, InstanceRecord, InstanceRole},
     primaries::{HolderView, InstanceStatus, ServiceTerm, TermChange, TermPhase, TermStep},
--- a/crates/decisions/src/directory/database_view.rs
+++ b/crates/decisions/src/directory/database_view.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use super::DatabaseStatus;
-use crate::{clock::Moment, control::MemberRecord, positions::LogPosition};
+use crate::{clock::Moment, control_state::MemberRecord, positions::LogPosition};
 
 /// Weight of the newest sample in the mean service time.
 const SERVICE_TIME_GAIN: f64 = 0.1;
--- a/crates/decisions/src/failover/change_of_primary.rs
+++ b/crates/decisions/src/failover/change_of_primary.rs
@@ -6,7 +6,7 @@
 use super::DatabaseOrder;
 use crate::{
     clock::Moment,
-    control::{ControlCommand, GroupPhase, GroupRecord, MemberRecord, MemberStanding},
+    control_state::{ControlCommand, GroupPhase, GroupRecord, MemberRecord, MemberStanding},
     directory::{DatabaseRole, DatabaseStatus},
     identity::{DatabaseName, HostId},
     leases::LeaseTable,
--- a/crates/decisions/src/failover/suspicion_table.rs
+++ b/crates/decisions/src/failover/suspicion_table.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     clock::Moment,
-    control::GroupRecord,
+    control_state::GroupRecord,
     identity::{GroupName, HostId},
     leases::LeaseTable,
 };
--- a/crates/decisions/src/host/control_flow.rs
+++ b/crates/decisions/src/pg_host/control_flow.rs
@@ -4,7 +4,7 @@
 use crate::{
     agreement::{AgreementEffect, AgreementEvent, EntryPayload},
     clock::Moment,
-    control::{ControlCommand, ControlState, HostRecord},
+    control_state::{ControlCommand, ControlState, HostRecord},
     identity::{HostId, RequestId},
     sessions::{MarkStore, rank_hosts},
 };
--- a/crates/decisions/src/host/group_view.rs
+++ b/crates/decisions/src/pg_host/group_view.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     clock::Moment,
-    control::{GroupPhase, GroupRecord, MemberRecord, MemberStanding},
+    control_state::{GroupPhase, GroupRecord, MemberRecord, MemberStanding},
     directory::DatabaseView,
     identity::{DatabaseName, RequestId},
     positions::{LogPosition, PrimarySamples},
--- a/crates/decisions/src/host/host_settings.rs
+++ b/crates/decisions/src/pg_host/host_settings.rs
@@ -1,6 +1,6 @@
 use std::{collections::BTreeSet, time::Duration};
 
-use crate::{control::HostRecord, identity::HostId};
+use crate::{control_state::HostRecord, identity::HostId};
 
 /// Times and identity of one host.
 #[derive(Debug, Clone)]
--- a/crates/decisions/src/host/leader_duty.rs
+++ b/crates/decisions/src/pg_host/leader_duty.rs
@@ -3,7 +3,9 @@
 use super::{HostEffect, HostState, PeerMessage};
 use crate::{
     clock::Moment,
-    control::{ControlCommand, GroupPhase, GroupRecord, HostRecord, MemberRecord, MemberStanding},
+    control_state::{
+        ControlCommand, GroupPhase, GroupRecord, HostRecord, MemberRecord, MemberStanding,
+    },
     directory::{Announcement, DatabaseRole, DatabaseStatus},
     failover::{ChangeOfPrimary, ChangeStep, DatabaseOrder, SuspicionTable},
     identity::{DatabaseName, GroupName, HostId},
--- a/crates/decisions/src/host/lease_flow.rs
+++ b/crates/decisions/src/pg_host/lease_flow.rs
@@ -1,7 +1,7 @@
 use super::{HostState, LeaseGrant, LeaseRequest, PeerMessage};
 use crate::{
     clock::Moment,
-    control::{ControlCommand, HostRecord},
+    control_state::{ControlCommand, HostRecord},
     identity::HostId,
 };
 
--- a/crates/decisions/src/host/operator_flow.rs
+++ b/crates/decisions/src/pg_host/operator_flow.rs
@@ -5,7 +5,7 @@
 use super::{HostEffect, HostState, PeerMessage};
 use crate::{
     clock::Moment,
-    control::{ControlAnswer, ControlCommand, Intent, Plan},
+    control_state::{ControlAnswer, ControlCommand, Intent, Plan},
     identity::HostId,
 };
 
--- a/crates/decisions/src/host/peer_message.rs
+++ b/crates/decisions/src/pg_host/peer_message.rs
@@ -6,7 +6,7 @@
 use crate::{
     agreement::AgreementMessage,
     clock::Moment,
-    control::{ControlCommand, ControlState, HostRecord},
+    control_state::{ControlCommand, ControlState, HostRecord},
     directory::Announcement,
     identity::{DatabaseName, GroupName, HostId, RequestId, SessionId},
     positions::LogPosition,
--- a/crates/decisions/src/host/report_flow.rs
+++ b/crates/decisions/src/pg_host/report_flow.rs
@@ -3,7 +3,7 @@
 use super::{GroupView, HostState, PeerMessage};
 use crate::{
     clock::Moment,
-    control::MemberStanding,
+    control_state::MemberStanding,
     directory::{DatabaseRole, DatabaseStatus, ObservedStatus},
     identity::{DatabaseName, GroupName},
     positions::LogPosition,
--- a/crates/decisions/src/host/request_flow.rs
+++ b/crates/decisions/src/pg_host/request_flow.rs
@@ -5,7 +5,7 @@
 };
 use crate::{
     clock::Moment,
-    control::HostRecord,
+    control_state::HostRecord,
     directory::DatabaseStatus,
     identity::{DatabaseName, GroupName, RequestId},
     outcomes::ResultCode,
--- a/crates/decisions/tests/audit_trail.rs
+++ b/crates/decisions/tests/audit_trail.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use hawthornstack_decisions::{
-    control::{AuditRecord, ControlCommand, ControlState, verify_chain},
+    control_state::{AuditRecord, ControlCommand, ControlState, verify_chain},
     routes::{RouteTable, TrafficLimits},
 };
 
--- a/crates/decisions/tests/control_faults.rs
+++ b/crates/decisions/tests/control_faults.rs
@@ -9,7 +9,7 @@
 use control_world::{ControlWorld, table};
 use hawthornstack_decisions::{
     clock::Moment,
-    control_host::{OperatorOrder, OrderAnswer},
+    control_role::{OperatorOrder, OrderAnswer},
     identity::HostId,
 };
 use rand::{RngExt, SeedableRng};
--- a/crates/decisions/tests/control_world/mod.rs
+++ b/crates/decisions/tests/control_world/mod.rs
@@ -12,7 +12,7 @@
 use hawthornstack_decisions::{
     agreement::JournalRecord,
     clock::Moment,
-    control_host::{
+    control_role::{
         ControlEffect, ControlEvent, ControlHost, ControlSettings, EntryReport, EntryUpdate,
         OperatorOrder, OrderAnswer, PromoteResult,
     },
--- a/crates/decisions/tests/home_choice.rs
+++ b/crates/decisions/tests/home_choice.rs
@@ -5,7 +5,7 @@
 
 use hawthornstack_decisions::{
     clock::Moment,
-    entry::{HomeLoad, choose_home},
+    entry_role::{HomeLoad, choose_home},
 };
 
 const NOW: Moment = Moment::from_millis(10_000);
--- a/crates/decisions/tests/primary_changes.rs
+++ b/crates/decisions/tests/primary_changes.rs
@@ -7,7 +7,7 @@
 
 use control_world::{ControlWorld, farewell, instance};
 use hawthornstack_decisions::{
-    control_host::{ControlEvent, EntryReport, EntryUpdate},
+    control_role::{ControlEvent, EntryReport, EntryUpdate},
     identity::HostId,
     instances::{InstanceRecord, InstanceRole},
     primaries::{ServiceTerm, TermPhase},
--- a/crates/decisions/tests/queue_order.rs
+++ b/crates/decisions/tests/queue_order.rs
@@ -5,7 +5,7 @@
 
 use hawthornstack_decisions::{
     clock::Moment,
-    entry::{InflightWindow, QueuedStatement, next_in_queue},
+    entry_role::{InflightWindow, QueuedStatement, next_in_queue},
 };
 
 const OBJECTIVE: Duration = Duration::from_millis(200);
--- a/crates/decisions/tests/read_choice.rs
+++ b/crates/decisions/tests/read_choice.rs
@@ -4,7 +4,7 @@
 
 use hawthornstack_decisions::{
     clock::Moment,
-    control::{MemberRecord, MemberStanding},
+    control_state::{MemberRecord, MemberStanding},
     directory::{DatabaseRole, DatabaseStatus, DatabaseView, ObservedStatus},
     identity::{DataCentre, DatabaseName},
     positions::{BranchHistory, BranchStart, LogPosition, PrimarySamples},
--- a/crates/decisions/tests/read_targets.rs
+++ b/crates/decisions/tests/read_targets.rs
@@ -5,7 +5,7 @@
 
 use hawthornstack_decisions::{
     clock::Moment,
-    entry::{DatabasePath, EntryView, ReadMarks, ReadNeed, ReadTarget},
+    entry_role::{DatabasePath, EntryView, ReadMarks, ReadNeed, ReadTarget},
     identity::HostId,
     instances::{InstanceKey, InstanceRecord, InstanceRole},
     positions::LogPosition,
--- a/crates/decisions/tests/schedule/schedule_run.rs
+++ b/crates/decisions/tests/schedule/schedule_run.rs
@@ -11,15 +11,15 @@
 use hawthornstack_decisions::{
     agreement::JournalRecord,
     clock::Moment,
-    control::HostRecord,
+    control_state::HostRecord,
     directory::{Announcement, DatabaseStatus},
     failover::DatabaseOrder,
-    host::{
+    identity::{DataCentre, DatabaseName, GroupName, HostId, RequestId},
+    outcomes::{Outcome, ResultCode},
+    pg_host::{
         ExecutionReport, HostEffect, HostEvent, HostSettings, HostState, OperatorQuestion,
         PeerMessage,
     },
-    identity::{DataCentre, DatabaseName, GroupName, HostId, RequestId},
-    outcomes::{Outcome, ResultCode},
     positions::{BranchHistory, BranchStart},
 };
 use rand::{RngExt, SeedableRng};
--- a/crates/decisions/tests/schedule/schedule_run/callers.rs
+++ b/crates/decisions/tests/schedule/schedule_run/callers.rs
@@ -1,11 +1,11 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use hawthornstack_decisions::{
-    control::{Declaration, Intent, ServiceDeclaration},
+    control_state::{Declaration, Intent, ServiceDeclaration},
     directory::DatabaseRole,
-    host::{HomeAddress, HostEvent, OperatorAnswer, OperatorQuestion},
     identity::{RequestId, SessionId},
     outcomes::{Outcome, ResultCode},
+    pg_host::{HomeAddress, HostEvent, OperatorAnswer, OperatorQuestion},
     positions::LogPosition,
     requests::{MarkSource, RequestArrival, RequestKind},
 };
--- a/crates/decisions/tests/schedule/schedule_run/faults.rs
+++ b/crates/decisions/tests/schedule/schedule_run/faults.rs
@@ -1,6 +1,6 @@
 use hawthornstack_decisions::{
-    host::{HostEvent, HostState},
     identity::RequestId,
+    pg_host::{HostEvent, HostState},
 };
 use rand::RngExt;
 
--- a/crates/decisions/tests/shared_connections.rs
+++ b/crates/decisions/tests/shared_connections.rs
@@ -3,7 +3,9 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use hawthornstack_decisions::entry::{ConnectionState, PreparedShape, RestoreStep, SessionState};
+use hawthornstack_decisions::entry_role::{
+    ConnectionState, PreparedShape, RestoreStep, SessionState,
+};
 use proptest::prelude::*;
 
 /// A connection at a database, which carries out what it is told.
--- a/crates/decisions/tests/whole_configurations.rs
+++ b/crates/decisions/tests/whole_configurations.rs
@@ -7,7 +7,7 @@
 
 use control_world::{ControlWorld, table};
 use hawthornstack_decisions::{
-    control_host::{OperatorOrder, OrderAnswer},
+    control_role::{OperatorOrder, OrderAnswer},
     identity::HostId,
     routes::{RouteError, RouteKind, RouteRule},
 };
--- a/crates/lab/src/cluster/lab_cluster.rs
+++ b/crates/lab/src/cluster/lab_cluster.rs
@@ -14,7 +14,7 @@
     },
 };
 use hawthornstack_decisions::{
-    control::{Declaration, Intent, ServiceDeclaration},
+    control_state::{Declaration, Intent, ServiceDeclaration},
     identity::{DataCentre, DatabaseName, GroupName, HostId},
 };
 use snafu::ResultExt;
--- a/crates/lab/src/cluster/operator_client.rs
+++ b/crates/lab/src/cluster/operator_client.rs
@@ -1,6 +1,6 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use hawthornstack_decisions::{control::Intent, directory::Announcement};
+use hawthornstack_decisions::{control_state::Intent, directory::Announcement};
 use hawthornstack_wire::operators::{
     ANNOUNCE_PATH, CONFIRM_PATH, ConfirmRequest, ConfirmResponse, PLAN_PATH, PlanRequest,
     PlanResponse, STATUS_PATH, StatusResponse,
--- a/crates/lab/src/slopes/decision_slopes.rs
+++ b/crates/lab/src/slopes/decision_slopes.rs
@@ -7,13 +7,13 @@
 
 use hawthornstack_decisions::{
     clock::Moment,
-    control::{ControlState, Declaration, HostRecord, Intent, ServiceDeclaration},
+    control_state::{ControlState, Declaration, HostRecord, Intent, ServiceDeclaration},
     directory::{Announcement, DatabaseRole},
-    host::{
+    identity::{DataCentre, DatabaseName, GroupName, HostId},
+    pg_host::{
         HostEffect, HostEvent, HostSettings, HostState, LeaseRequest, OperatorAnswer,
         OperatorQuestion, PeerMessage,
     },
-    identity::{DataCentre, DatabaseName, GroupName, HostId},
 };
 
 use super::slope_line::{SlopeLine, SlopePoint};
--- a/crates/lab/tests/graceful_change.rs
+++ b/crates/lab/tests/graceful_change.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use hawthornstack_decisions::{control::Intent, outcomes::Outcome};
+use hawthornstack_decisions::{control_state::Intent, outcomes::Outcome};
 use hawthornstack_lab::cluster::{ClusterPlan, LabCaller, LabCluster};
 use tokio_util::sync::CancellationToken;
 
--- a/crates/wire/src/operators/messages.rs
+++ b/crates/wire/src/operators/messages.rs
@@ -1,7 +1,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use hawthornstack_decisions::{
-    control::{Intent, PlannedChange, ServiceDeclaration},
+    control_state::{Intent, PlannedChange, ServiceDeclaration},
     identity::{DataCentre, DatabaseName, GroupName, HostId},
 };
 use serde::{Deserialize, Serialize};
--- a/crates/wire/src/peers/peer_frame.rs
+++ b/crates/wire/src/peers/peer_frame.rs
@@ -1,4 +1,4 @@
-use hawthornstack_decisions::{host::PeerMessage, identity::HostId};
+use hawthornstack_decisions::{identity::HostId, pg_host::PeerMessage};
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu, ensure};
 
--- a/crates/wire/tests/message_snapshots.rs
+++ b/crates/wire/tests/message_snapshots.rs
@@ -8,12 +8,12 @@
 
 use hawthornstack_decisions::{
     agreement::{AgreementMessage, JournalRecord},
-    control::{ControlCommand, ControlState, Intent, PlannedChange},
-    control_host::{ControlMessage, EntryReport, EntryUpdate, LinkFrame, LinkRole},
+    control_role::{ControlMessage, EntryReport, EntryUpdate, LinkFrame, LinkRole},
+    control_state::{ControlCommand, ControlState, Intent, PlannedChange},
     directory::{Announcement, DatabaseRole, DatabaseStatus},
     failover::DatabaseOrder,
-    host::{OperatorAnswer, OperatorQuestion, PeerMessage},
     outcomes::{Outcome, ResultCode},
+    pg_host::{OperatorAnswer, OperatorQuestion, PeerMessage},
     primaries::TermPhase,
     routes::{PackedRoutes, RouteKind, RouteTable},
     sessions::{SessionToken, TokenKey},
