--- a/crates/cli/src/commands/execution.rs
+++ b/crates/cli/src/commands/execution.rs
@@ -190,6 +190,6 @@
     };
     println!("{} {:?}: {}", code.number(), code, code.text());
     println!("Outcome: {:?}; SQLSTATE {}", code.outcome(), code.sqlstate());
-    println!("{}", code.mend());
+    println!("{}", code.remedy());
     Ok(())
 }
--- a/crates/daemon/src/control_role/control_service.rs
+++ b/crates/daemon/src/control_role/control_service.rs
@@ -9,7 +9,7 @@
 
 use hawthornstack_decisions::{
     control_role::{
-        ControlEffect, ControlEvent, ControlHost, ControlNote, ControlSettings, EntryUpdate,
+        ControlEffect, ControlEvent, ControlHost, ControlLogEvent, ControlSettings, EntryUpdate,
         OperatorOrder, OrderAnswer,
     },
     control_state::AuditRecord,
@@ -123,7 +123,7 @@
     let (persisted, journal_events) = mpsc::unbounded_channel();
     let (journal, records) = JournalThread::open(&options.data_folder, persisted)?;
     tracing::info!(target: "journal", records = records.len(), "journal read");
-    let address = host_address(options.decisions.me, options.link_port);
+    let address = host_address(options.decisions.host, options.link_port);
     let listener =
         bind_listener(address).map_err(|source| KernelError::Listen { address, source })?;
     let (links, link_events) = mpsc::unbounded_channel();
@@ -218,13 +218,13 @@
                 self.next_ticket += 1;
                 let ticket = self.next_ticket;
                 self.orders.insert(ticket, answer);
-                self.step(ControlEvent::Ordered { ticket, order });
+                self.step(ControlEvent::OperatorOrdered { ticket, order });
             }
         }
     }
 
     fn status(&self) -> Option<StatusResponse> {
-        let (me, port) = (self.options.decisions.me, self.options.link_port);
+        let (me, port) = (self.options.decisions.host, self.options.link_port);
         match status_page(&self.host, me, port, self.connected.get(), self.clock.now()) {
             Ok(page) => Some(page),
             Err(error) => {
@@ -291,7 +291,7 @@
     fn carry_out(&mut self, effect: ControlEffect) {
         match effect {
             ControlEffect::Dial(peer) => {
-                let (me, port) = (self.options.decisions.me, self.options.link_port);
+                let (me, port) = (self.options.decisions.host, self.options.link_port);
                 self.peers.entry(peer).or_insert_with(|| PeerDialler::start(me, peer, port));
             }
             ControlEffect::SendPeer(to, message) => {
@@ -324,7 +324,7 @@
                     let _ = waiting.send(answer);
                 }
             }
-            ControlEffect::Note(note) => write_note(&note),
+            ControlEffect::Log(note) => write_note(&note),
         }
     }
 
@@ -352,20 +352,22 @@
     }
 }
 
-fn write_note(note: &ControlNote) {
+fn write_note(note: &ControlLogEvent) {
     match note {
-        ControlNote::Leads(term) => tracing::info!(target: "control", term, "this host leads"),
-        ControlNote::LeadsNoMore => {
+        ControlLogEvent::LeadershipGained(term) => {
+            tracing::info!(target: "control", term, "this host leads")
+        }
+        ControlLogEvent::LeadershipLost => {
             tracing::info!(target: "control", "this host no longer leads");
         }
-        ControlNote::Voters(voters) => tracing::info!(target: "control", ?voters, "voters"),
-        ControlNote::Routes(version) => {
+        ControlLogEvent::Voters(voters) => tracing::info!(target: "control", ?voters, "voters"),
+        ControlLogEvent::Routes(version) => {
             tracing::info!(target: "control", version, "configuration in force");
         }
-        ControlNote::Term { service, number, what } => {
+        ControlLogEvent::Term { service, number, what } => {
             tracing::info!(target: "control", %service, number, %what, "term");
         }
-        ControlNote::Instance { key, what } => {
+        ControlLogEvent::Instance { key, what } => {
             tracing::info!(target: "control", instance = %key, what, "database");
         }
     }
--- a/crates/daemon/src/control_role/status_pages.rs
+++ b/crates/daemon/src/control_role/status_pages.rs
@@ -47,7 +47,7 @@
         TermPhase::Fencing { .. } => "fencing",
         TermPhase::Promoting { .. } => "promoting",
     };
-    let members = control_host.directory().of_service(&term.service).map(member_status);
+    let members = control_host.directory().instances_of_service(&term.service).map(member_status);
     Ok(GroupStatus {
         group: GroupName::new(&term.service)?,
         term: term.number,
--- a/crates/daemon/src/edges/caller_protocol.rs
+++ b/crates/daemon/src/edges/caller_protocol.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use hawthornstack_decisions::{entry_role::PreparedShape, positions::LogPosition};
+use hawthornstack_decisions::{entry_role::PreparedStatement, positions::LogPosition};
 use snafu::Snafu;
 
 /// What a caller's statement does.
@@ -39,7 +39,7 @@
         /// The caller's name of it.
         name: Arc<str>,
         /// What it runs.
-        prepared: PreparedShape,
+        prepared: PreparedStatement,
     },
     /// Forgets a prepared statement.
     Deallocate {
--- a/crates/daemon/src/edges/upstream_protocol.rs
+++ b/crates/daemon/src/edges/upstream_protocol.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hawthornstack_decisions::{
-    entry_role::PreparedShape, positions::LogPosition, primaries::InstanceStatus,
+    entry_role::PreparedStatement, positions::LogPosition, primaries::InstanceStatus,
 };
 use snafu::Snafu;
 
@@ -76,7 +76,7 @@
         /// Name on this connection.
         name: &'a str,
         /// What it runs.
-        prepared: &'a PreparedShape,
+        prepared: &'a PreparedStatement,
     },
     /// Asks for role, term and position.
     Status,
--- a/crates/daemon/src/entry_role/caller_session.rs
+++ b/crates/daemon/src/entry_role/caller_session.rs
@@ -198,7 +198,7 @@
             hint,
             objective: route.map_or(Duration::ZERO, |route| route.objective),
             routes_version: view.routes_version(),
-            lease_ms: view.lease_left(now).as_millis() as u64,
+            lease_ms: view.lease_remaining(now).as_millis() as u64,
         };
         trace.finish(now, end, &self.shared.traces, &self.shared.metrics);
     }
@@ -332,7 +332,7 @@
                 let hint = "the primary was replaced before it answered";
                 return AttemptEnd::Reply(CallerReply::Refused(CallerRefusal::InDoubt, hint));
             }
-            self.state.committed(answer.position);
+            self.state.record_commit(answer.position);
         }
         AttemptEnd::Reply(self.relay(answer))
     }
@@ -358,7 +358,7 @@
                 let key = &place.link.record().key;
                 if let Some(position) = place.after {
                     let now = self.shared.now();
-                    self.shared.view.borrow_mut().loads.lagged(now, key, position);
+                    self.shared.view.borrow_mut().loads.record_lag(now, key, position);
                 }
                 tried.push(key.clone());
                 match code {
--- a/crates/daemon/src/entry_role/control_links.rs
+++ b/crates/daemon/src/entry_role/control_links.rs
@@ -143,7 +143,12 @@
         match update {
             EntryUpdate::Grant { sent_at, duration, required_index, entry_hosts } => {
                 self.leader = Some(host);
-                shared.view.borrow_mut().grant(sent_at, duration, required_index, entry_hosts);
+                shared.view.borrow_mut().extend_lease(
+                    sent_at,
+                    duration,
+                    required_index,
+                    entry_hosts,
+                );
             }
             EntryUpdate::NotLeader { leader } => return self.leader_named(host, leader),
             EntryUpdate::State { index, routes, terms } => {
@@ -164,9 +169,15 @@
             }
             EntryUpdate::Hosts(hosts) => return self.dial_all(&hosts),
             EntryUpdate::EntryHosts(hosts) => shared.view.borrow_mut().set_entry_hosts(hosts),
-            EntryUpdate::Announced(records) => shared.view.borrow_mut().announced(now, &records),
-            EntryUpdate::Departed(departures) => shared.view.borrow_mut().departed(&departures),
-            EntryUpdate::Expired(departures) => shared.view.borrow_mut().expired(&departures),
+            EntryUpdate::Announced(records) => {
+                shared.view.borrow_mut().record_announcements(now, &records)
+            }
+            EntryUpdate::Departed(departures) => {
+                shared.view.borrow_mut().record_departures(&departures)
+            }
+            EntryUpdate::Expired(departures) => {
+                shared.view.borrow_mut().remove_expired(&departures)
+            }
             EntryUpdate::Probe { service, number } => {
                 return probe_primary(&shared, &service, number);
             }
--- a/crates/daemon/src/entry_role/database_pool.rs
+++ b/crates/daemon/src/entry_role/database_pool.rs
@@ -120,7 +120,7 @@
     pub(super) fn set_share(&self, share: usize) {
         let mut state = self.state.borrow_mut();
         state.share = share.max(1);
-        state.window.set_largest(share.max(1));
+        state.window.set_max(share.max(1));
     }
 
     pub(super) fn is_empty(&self) -> bool {
@@ -206,8 +206,8 @@
         let mut state = self.state.borrow_mut();
         let running = state.running;
         match refused {
-            true => state.window.refused(),
-            false => state.window.answered(running),
+            true => state.window.record_refusal(),
+            false => state.window.record_answer(running),
         }
     }
 
--- a/crates/daemon/src/entry_role/entry_shared.rs
+++ b/crates/daemon/src/entry_role/entry_shared.rs
@@ -9,7 +9,7 @@
 use hawthornstack_decisions::{
     clock::Moment,
     control_role::EntryReport,
-    entry_role::{DatabasePath, EntryView, HomeLoad, choose_home},
+    entry_role::{DatabasePath, EntryView, GatewayLoad, choose_gateway},
     identity::HostId,
     instances::{InstanceKey, InstanceRecord},
 };
@@ -72,7 +72,7 @@
     pools: RefCell<HashMap<PoolKey, Rc<DatabasePool>>>,
     /// Homes that could not be reached, and until when they are passed over.
     avoided: RefCell<HashMap<HostId, Moment>>,
-    home_loads: RefCell<HashMap<InstanceKey, BTreeMap<HostId, HomeLoad>>>,
+    home_loads: RefCell<HashMap<InstanceKey, BTreeMap<HostId, GatewayLoad>>>,
     writes: RefCell<BTreeMap<(Arc<str>, u64), u32>>,
 }
 
@@ -128,7 +128,7 @@
             DatabasePath::Direct { connections } => {
                 self.pool_by(record, None, connections as usize)
             }
-            DatabasePath::Homes(homes) => {
+            DatabasePath::Gateways(homes) => {
                 self.pool_by(record, self.usable_home(record, &homes), HOME_LINKS)
             }
         }
@@ -158,11 +158,11 @@
         let loads = loads.get(&record.key);
         let load_of = |home: &HostId| {
             let mut load = loads.and_then(|loads| loads.get(home)).copied().unwrap_or_default();
-            avoided.get(home).into_iter().for_each(|until| load.avoid(*until));
+            avoided.get(home).into_iter().for_each(|until| load.avoid_until(*until));
             load
         };
-        let known: Vec<HomeLoad> = homes.iter().map(load_of).collect();
-        choose_home(&known, self.now()).map(|place| homes[place])
+        let known: Vec<GatewayLoad> = homes.iter().map(load_of).collect();
+        choose_gateway(&known, self.now()).map(|place| homes[place])
     }
 
     /// Notes how a home answered for a database, or that it had no connection
@@ -171,8 +171,8 @@
         let mut loads = self.home_loads.borrow_mut();
         let load = loads.entry(key.clone()).or_default().entry(home).or_default();
         match busy {
-            true => load.was_crowded(self.now()),
-            false => load.answered(took),
+            true => load.record_no_connection(self.now()),
+            false => load.record_answer(took),
         }
     }
 
@@ -210,7 +210,7 @@
         let view = self.view.borrow();
         let mut loads = self.home_loads.borrow_mut();
         loads.retain(|key, _| view.instance(key).is_some());
-        loads.values_mut().flat_map(BTreeMap::values_mut).for_each(HomeLoad::fade);
+        loads.values_mut().flat_map(BTreeMap::values_mut).for_each(GatewayLoad::decay);
     }
 
     /// This host's even share of a database's connections, or of a home's.
@@ -219,7 +219,7 @@
             (Some(_), _) => HOME_LINKS,
             (None, DatabasePath::Direct { connections }) => connections as usize,
             // No longer a home: what runs ends, nothing is opened beside it.
-            (None, DatabasePath::Homes(_)) => 0,
+            (None, DatabasePath::Gateways(_)) => 0,
         }
     }
 
@@ -229,7 +229,7 @@
         let view = self.view.borrow();
         let metrics = &self.metrics;
         metrics.set("hawthornstack_sessions", f64::from(self.sessions.get()), &[]);
-        let lease = view.lease_left(now).as_secs_f64();
+        let lease = view.lease_remaining(now).as_secs_f64();
         metrics.set("hawthornstack_lease_seconds", lease, &[]);
         metrics.set("hawthornstack_routes_version", view.routes_version() as f64, &[]);
         metrics.set("hawthornstack_applied_index", view.applied() as f64, &[]);
--- a/crates/daemon/src/entry_role/statement_run.rs
+++ b/crates/daemon/src/entry_role/statement_run.rs
@@ -2,7 +2,7 @@
 
 use hawthornstack_decisions::{
     clock::Moment,
-    entry_role::{PrimaryUse, QueuedStatement, ReadTarget, RestoreStep, SessionState},
+    entry_role::{PrimaryAvailability, QueuedStatement, ReadTarget, RestoreStep, SessionState},
     instances::{InstanceKey, InstanceRecord},
     positions::LogPosition,
     routes::{RouteKind, RouteRule},
@@ -139,9 +139,9 @@
             true => connect_by.min(Instant::now() + MOVE_AFTER),
             false => connect_by,
         };
-        shared.view.borrow_mut().loads.started(&record.key);
+        shared.view.borrow_mut().loads.record_start(&record.key);
         let acquired = pool.acquire(shared, statement, until).await;
-        shared.view.borrow_mut().loads.finished(&record.key, None);
+        shared.view.borrow_mut().loads.record_finish(&record.key, None);
         let (at, got) = (shared.now(), acquired.is_ok());
         trace.note(at, TraceStep::Queued { waited: at.since(now), got });
         match acquired {
@@ -149,7 +149,7 @@
             Ok(link) => {
                 if let (Some(number), Some(position)) = (number, link.opened_at) {
                     let mut view = shared.view.borrow_mut();
-                    view.saw_primary(shared.now(), service, number, now, position);
+                    view.record_primary_position(shared.now(), service, number, now, position);
                 }
                 if !has_time(shared, limits, &record.key) {
                     link.release();
@@ -214,7 +214,7 @@
     let view = shared.view.borrow();
     let service = &limits.route.service;
     if !limits.needs_primary && limits.route.kind != RouteKind::Primary {
-        let need = view.read_need(now, limits.route, limits.last_commit);
+        let need = view.read_requirement(now, limits.route, limits.last_commit);
         if let ReadTarget::Replica { record, position } =
             view.read_target(now, service, need, tried)
         {
@@ -222,8 +222,8 @@
         }
     }
     match view.primary(now, service) {
-        PrimaryUse::Usable { record, number } => Some((record, Some(number), None)),
-        PrimaryUse::NotNow => None,
+        PrimaryAvailability::Usable { record, number } => Some((record, Some(number), None)),
+        PrimaryAvailability::Unavailable => None,
     }
 }
 
@@ -241,7 +241,7 @@
         return true;
     };
     let usable = shared.view.borrow().primary(shared.now(), service);
-    matches!(usable, PrimaryUse::Usable { number: current, .. } if current == number)
+    matches!(usable, PrimaryAvailability::Usable { number: current, .. } if current == number)
 }
 
 /// Notes that a database broke off or could not be reached.
@@ -251,7 +251,7 @@
     number: Option<u64>,
     service: &Arc<str>,
 ) {
-    shared.view.borrow_mut().loads.failed(shared.now(), key);
+    shared.view.borrow_mut().loads.record_unreachable(shared.now(), key);
     if let Some(number) = number {
         probe_primary(shared, service, number);
     }
@@ -272,7 +272,7 @@
         return Err(LinkError::Broken);
     };
     let sent_at = shared.now();
-    shared.view.borrow_mut().loads.started(&key);
+    shared.view.borrow_mut().loads.record_start(&key);
     let exchange = link.exchange(&*shared.upstreams, out, restoring);
     let result = watch_exchange(shared, &service, number, deadline, exchange).await;
     let now = shared.now();
@@ -290,17 +290,17 @@
         }
     }
     let mut view = shared.view.borrow_mut();
-    view.loads.finished(&key, result.is_ok().then(|| now.since(sent_at)));
+    view.loads.record_finish(&key, result.is_ok().then(|| now.since(sent_at)));
     if let Ok(answer) = &result {
         match answer.end {
-            AnswerEnd::Done => view.loads.ran(now, &key, false),
-            AnswerEnd::Refused(UpstreamCode::Failed) => view.loads.ran(now, &key, true),
+            AnswerEnd::Done => view.loads.record_result(now, &key, false),
+            AnswerEnd::Refused(UpstreamCode::Failed) => view.loads.record_result(now, &key, true),
             AnswerEnd::Refused(_) => {}
         }
         if let Some(position) = answer.position {
-            view.loads.saw_position(&key, position);
+            view.loads.record_position(&key, position);
             if let Some(number) = number {
-                view.saw_primary(now, &service, number, sent_at, position);
+                view.record_primary_position(now, &service, number, sent_at, position);
             }
         }
     }
--- a/crates/daemon/src/entry_role/transaction_run.rs
+++ b/crates/daemon/src/entry_role/transaction_run.rs
@@ -167,7 +167,7 @@
                         let hint = "the primary was replaced before it answered";
                         return CallerReply::Refused(CallerRefusal::InDoubt, hint);
                     }
-                    self.state.committed(answer.position);
+                    self.state.record_commit(answer.position);
                 }
                 self.relay(answer)
             }
--- a/crates/daemon/src/pg_callers/answer_writer.rs
+++ b/crates/daemon/src/pg_callers/answer_writer.rs
@@ -103,7 +103,7 @@
             (b'C', code.sqlstate().to_owned()),
             (b'M', text.to_owned()),
             (b'D', format!("hawthornstack result {}: {:?}", code.number(), code.outcome())),
-            (b'H', code.mend().to_owned()),
+            (b'H', code.remedy().to_owned()),
         ];
         self.put(&ErrorResponse::new(fields));
     }
--- a/crates/daemon/src/pg_callers/caller_state.rs
+++ b/crates/daemon/src/pg_callers/caller_state.rs
@@ -4,7 +4,7 @@
     identity::{GroupName, SessionId},
     outcomes::ResultCode,
     positions::LogPosition,
-    requests::{MarkSource, RequestKind},
+    requests::{PositionSource, RequestKind},
     sessions::{SessionToken, TokenKey},
     statements::{CallerSetting, SETTING_PREFIX, StatementClass},
 };
@@ -122,10 +122,10 @@
         let token = SessionToken::decode(text, key, &self.group)
             .map_err(|error| Refusal { code: ResultCode::BadToken, text: error.to_string() })?;
         if token.session == self.session {
-            self.mark = self.mark.max(token.mark);
+            self.mark = self.mark.max(token.position);
         } else {
             self.session = token.session;
-            self.mark = token.mark;
+            self.mark = token.position;
             self.named = true;
         }
         Ok(())
@@ -135,7 +135,7 @@
     pub(super) fn take_forwarded_token(&mut self, token: Option<String>, key: &TokenKey) {
         let read = token.and_then(|text| SessionToken::decode(&text, key, &self.group).ok());
         if let Some(token) = read {
-            self.mark = self.mark.max(token.mark);
+            self.mark = self.mark.max(token.position);
         }
     }
 
@@ -160,7 +160,7 @@
         let token = SessionToken {
             session: self.session.clone(),
             group: self.group.clone(),
-            mark: self.mark,
+            position: self.mark,
         };
         token.encode(key)
     }
@@ -180,16 +180,16 @@
     pub(super) fn request_kind(&self, writes: bool) -> RequestKind {
         match (writes, self.max_age) {
             (true, _) => RequestKind::Write,
-            (false, Some(age)) => RequestKind::AgedRead(age),
+            (false, Some(age)) => RequestKind::BoundedStaleness(age),
             (false, None) => RequestKind::SessionRead,
         }
     }
 
     /// Where the mark of this session's next read comes from.
-    pub(super) fn mark_source(&self) -> MarkSource {
+    pub(super) fn mark_source(&self) -> PositionSource {
         match self.named {
-            true => MarkSource::Keepers(self.mark),
-            false => MarkSource::Known(self.mark),
+            true => PositionSource::PositionHosts(self.mark),
+            false => PositionSource::Known(self.mark),
         }
     }
 }
--- a/crates/daemon/src/pg_callers/forward_runner.rs
+++ b/crates/daemon/src/pg_callers/forward_runner.rs
@@ -1,7 +1,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bytes::BytesMut;
-use hawthornstack_decisions::{outcomes::ResultCode, pg_host::HomeAddress};
+use hawthornstack_decisions::{outcomes::ResultCode, pg_host::GatewayAddress};
 use tokio::time::timeout;
 
 use super::{
@@ -45,7 +45,7 @@
         work: RequestWork<'_>,
         writes: bool,
         key: Option<Arc<str>>,
-        homes: Vec<HomeAddress>,
+        homes: Vec<GatewayAddress>,
     ) -> RunEnd {
         let mut homes = homes;
         self.context.forwards.order(&mut homes);
@@ -83,7 +83,7 @@
         state: &CallerState,
         work: RequestWork<'_>,
         forwarded: &ForwardedState,
-        home: &HomeAddress,
+        home: &GatewayAddress,
     ) -> Result<HomeAnswer, UpstreamError> {
         let forwards = &self.context.forwards;
         let mut connection = forwards.check_out(home, &state.group).await?;
@@ -111,7 +111,7 @@
         state: &CallerState,
         begin: &str,
         read_only: bool,
-        homes: Vec<HomeAddress>,
+        homes: Vec<GatewayAddress>,
     ) -> Result<OpenTransaction, ResultCode> {
         let mut homes = homes;
         self.context.forwards.order(&mut homes);
@@ -137,7 +137,7 @@
         state: &CallerState,
         begin: &str,
         handover: &str,
-        home: &HomeAddress,
+        home: &GatewayAddress,
     ) -> Result<UpstreamConnection, UpstreamError> {
         let mut connection = self.context.forwards.check_out(home, &state.group).await?;
         let mut bytes = BytesMut::new();
--- a/crates/daemon/src/pg_callers/forward_store.rs
+++ b/crates/daemon/src/pg_callers/forward_store.rs
@@ -6,7 +6,7 @@
 
 use hawthornstack_decisions::{
     identity::{GroupName, HostId},
-    pg_host::HomeAddress,
+    pg_host::GatewayAddress,
 };
 use tokio::time::Instant;
 
@@ -38,7 +38,7 @@
     }
 
     /// Puts homes that failed a moment ago last.
-    pub(super) fn order(&self, homes: &mut [HomeAddress]) {
+    pub(super) fn order(&self, homes: &mut [GatewayAddress]) {
         self.with(|state| {
             homes.sort_by_key(|home| {
                 let failed_at = state.failed_at.get(&home.host);
@@ -53,7 +53,7 @@
 
     pub(super) async fn check_out(
         &self,
-        home: &HomeAddress,
+        home: &GatewayAddress,
         group: &GroupName,
     ) -> Result<UpstreamConnection, UpstreamError> {
         let key = (home.host, group.clone());
--- a/crates/daemon/src/pg_callers/request_runner.rs
+++ b/crates/daemon/src/pg_callers/request_runner.rs
@@ -4,7 +4,7 @@
 use hawthornstack_decisions::{
     identity::DatabaseName,
     outcomes::ResultCode,
-    pg_host::{Conclusion, ExecutionReport},
+    pg_host::{ExecutionReport, RequestResult},
     requests::{RequestArrival, RequestKind},
 };
 use hawthornstack_wire::reports::POSITION_STATEMENT;
@@ -60,8 +60,12 @@
 impl RunEnd {
     /// The end that the host's conclusion means for a held answer; the session
     /// takes its mark.
-    pub(super) fn of(conclusion: &Conclusion, held: AnswerWriter, state: &mut CallerState) -> Self {
-        state.mark = state.mark.max(conclusion.mark.unwrap_or_default());
+    pub(super) fn of(
+        conclusion: &RequestResult,
+        held: AnswerWriter,
+        state: &mut CallerState,
+    ) -> Self {
+        state.mark = state.mark.max(conclusion.session_position.unwrap_or_default());
         match (conclusion.result, conclusion.retry_after) {
             (ResultCode::Done, _) => Self::Answered(held),
             (code, Some(wait)) => Self::Busy(code, wait),
@@ -148,7 +152,7 @@
             request: self.context.numbers.next(),
             group: state.group.clone(),
             kind,
-            mark: state.mark_source(),
+            position_source: state.mark_source(),
             session: state.named.then(|| state.session.clone()),
             transaction: false,
             caller: state.user.clone(),
@@ -223,7 +227,7 @@
                         handle.report(ExecutionReport::NotRun);
                         continue;
                     };
-                    let aged = matches!(kind, RequestKind::AgedRead(_));
+                    let aged = matches!(kind, RequestKind::BoundedStaleness(_));
                     let performed = tokio::select! {
                         () = self.cancel.notify.notified() => {
                             handle.report(ExecutionReport::RolledBack);
@@ -358,7 +362,7 @@
         let mut handle = handle;
         loop {
             if let RequestSignal::Conclude(conclusion) = handle.next().await {
-                state.mark = state.mark.max(conclusion.mark.unwrap_or_default());
+                state.mark = state.mark.max(conclusion.session_position.unwrap_or_default());
                 return match conclusion.result {
                     ResultCode::Done => Ok(()),
                     code => Err(code),
--- a/crates/daemon/src/pg_host/host_message.rs
+++ b/crates/daemon/src/pg_host/host_message.rs
@@ -3,7 +3,7 @@
 use hawthornstack_decisions::{
     control_state::AuditRecord,
     identity::DatabaseName,
-    pg_host::{Conclusion, HomeAddress, HostEvent, OperatorAnswer, OperatorQuestion},
+    pg_host::{GatewayAddress, HostEvent, OperatorAnswer, OperatorQuestion, RequestResult},
     requests::RequestArrival,
 };
 use hawthornstack_wire::operators::StatusResponse;
@@ -22,9 +22,9 @@
         is_primary: bool,
     },
     /// One of these homes is to run it; it is over here.
-    Forward(Vec<HomeAddress>),
+    Forward(Vec<GatewayAddress>),
     /// The request is over.
-    Conclude(Conclusion),
+    Conclude(RequestResult),
 }
 
 /// Requests to the host service.
--- a/crates/daemon/src/pg_host/host_service.rs
+++ b/crates/daemon/src/pg_host/host_service.rs
@@ -107,7 +107,7 @@
             HostMessage::Arrive(arrival, signals) => {
                 let waiting = WaitingRequest { signals, arrived_at: state.clock.now() };
                 state.requests.insert(arrival.request, waiting);
-                state.step(HostEvent::Arrived(arrival));
+                state.step(HostEvent::RequestArrived(arrival));
             }
             HostMessage::Ask(question, answer) => state.ask(question, answer),
             HostMessage::Status(answer) => {
@@ -149,7 +149,7 @@
         self.last_ticket += 1;
         let ticket = self.last_ticket;
         self.questions.insert(ticket, answer);
-        self.step(HostEvent::Asked { ticket, question });
+        self.step(HostEvent::OperatorAsked { ticket, question });
     }
 
     fn answer(&mut self, ticket: u64, answer: OperatorAnswer) {
@@ -210,7 +210,7 @@
             HostEffect::Forward(request, homes) => {
                 self.signal(request, RequestSignal::Forward(homes));
             }
-            HostEffect::Conclude(request, conclusion) => {
+            HostEffect::Complete(request, conclusion) => {
                 self.signal(request, RequestSignal::Conclude(conclusion));
             }
             HostEffect::Answer { ticket, answer } => self.answer(ticket, answer),
@@ -223,7 +223,7 @@
                 let text = result.text();
                 log::warn!(target: "host", "Announcement of {database} refused ({number}): {text}");
             }
-            HostEffect::Note(text) => log::info!(target: "host", "{text}"),
+            HostEffect::Log(text) => log::info!(target: "host", "{text}"),
         }
     }
 
--- a/crates/daemon/src/pg_host/request_handle.rs
+++ b/crates/daemon/src/pg_host/request_handle.rs
@@ -6,7 +6,7 @@
 use hawthornstack_decisions::{
     identity::RequestId,
     outcomes::ResultCode,
-    pg_host::{Conclusion, ExecutionReport, HostEvent},
+    pg_host::{ExecutionReport, HostEvent, RequestResult},
     requests::RequestArrival,
 };
 use ractor::ActorRef;
@@ -47,9 +47,9 @@
 
     /// Waits for the next signal; a host that is gone concludes the request.
     pub async fn next(&mut self) -> RequestSignal {
-        let signal = self.signals.recv().await.unwrap_or(RequestSignal::Conclude(Conclusion {
+        let signal = self.signals.recv().await.unwrap_or(RequestSignal::Conclude(RequestResult {
             result: ResultCode::ShuttingDown,
-            mark: None,
+            session_position: None,
             retry_after: None,
         }));
         match signal {
@@ -62,7 +62,7 @@
     /// Tells the host what became of the request at its database.
     pub fn report(&mut self, report: ExecutionReport) {
         self.running = false;
-        let event = HostEvent::Executed(self.request, report);
+        let event = HostEvent::RequestExecuted(self.request, report);
         let _ = self.host.send_message(HostMessage::Event(event));
     }
 }
@@ -75,7 +75,7 @@
         if self.running {
             self.report(ExecutionReport::RolledBack);
         }
-        let event = HostEvent::Abandoned(self.request);
+        let event = HostEvent::RequestAbandoned(self.request);
         let _ = self.host.send_message(HostMessage::Event(event));
     }
 }
--- a/crates/daemon/src/pg_host/status_page.rs
+++ b/crates/daemon/src/pg_host/status_page.rs
@@ -47,7 +47,7 @@
         term: record.term,
         primary: record.primary.clone(),
         phase: phase.to_owned(),
-        homes: record.homes.clone(),
+        homes: record.gateways.clone(),
         members: record
             .members
             .values()
@@ -55,7 +55,7 @@
                 member_status(member, view.and_then(|v| v.databases.get(&member.database)))
             })
             .collect(),
-        waiting: view.map_or(0, GroupView::waiting),
+        waiting: view.map_or(0, GroupView::waiting_count),
     }
 }
 
--- a/crates/daemon/src/pg_operators/operator_routes.rs
+++ b/crates/daemon/src/pg_operators/operator_routes.rs
@@ -8,7 +8,7 @@
     routing::{get, post},
 };
 use hawthornstack_decisions::{
-    control_state::ControlAnswer,
+    control_state::ConfirmationResult,
     directory::Announcement,
     identity::HostId,
     outcomes::ResultCode,
@@ -60,7 +60,7 @@
     let body = ErrorResponse {
         code: code.number(),
         text: text.to_owned(),
-        mend: code.mend().to_owned(),
+        mend: code.remedy().to_owned(),
         leader,
     };
     (status, Json(body)).into_response()
@@ -129,7 +129,7 @@
     }
 }
 
-fn confirmation(answer: ControlAnswer) -> Response {
+fn confirmation(answer: ConfirmationResult) -> Response {
     let status = match answer.result {
         ResultCode::Done => StatusCode::OK,
         _ => StatusCode::CONFLICT,
--- a/crates/daemon/src/settings/daemon_settings.rs
+++ b/crates/daemon/src/settings/daemon_settings.rs
@@ -264,7 +264,7 @@
             lease_renewal: self.control.renewal,
             suspect_after: self.failover.suspect_after,
             stall_after: self.failover.stall_after,
-            homes_per_group: self.groups.homes,
+            gateways_per_group: self.groups.homes,
             election_timeout: self.control.election_timeout,
             heartbeat_interval: self.control.heartbeat,
             seed,
--- a/crates/daemon/tests/docs_match.rs
+++ b/crates/daemon/tests/docs_match.rs
@@ -27,7 +27,7 @@
         .iter()
         .map(|code| {
             let (number, state, outcome) = (code.number(), code.sqlstate(), code.outcome());
-            let (text, mend) = (code.text(), code.mend());
+            let (text, mend) = (code.text(), code.remedy());
             format!("| {number} | {code:?} | {state} | {outcome:?} | {text} | {mend} |")
         })
         .collect();
--- a/crates/decisions/src/agreement/agreement_effect.rs
+++ b/crates/decisions/src/agreement/agreement_effect.rs
@@ -36,5 +36,5 @@
     /// This host became leader of the term.
     Elected(u64),
     /// This host is no longer leader.
-    Deposed,
+    SteppedDown,
 }
--- a/crates/decisions/src/agreement/election.rs
+++ b/crates/decisions/src/agreement/election.rs
@@ -184,7 +184,7 @@
 
     pub(super) fn leave_role(&mut self, now: Moment) {
         if self.is_leader() {
-            self.effects.push(AgreementEffect::Deposed);
+            self.effects.push(AgreementEffect::SteppedDown);
             self.leader = None;
             self.reset_election(now);
         }
--- a/crates/decisions/src/control_role/control_event.rs
+++ b/crates/decisions/src/control_role/control_event.rs
@@ -36,7 +36,7 @@
     /// No configuration was given yet.
     NoRoutes,
     /// Another host leads.
-    Elsewhere(HostId),
+    NotLeader(HostId),
     /// This host cannot tell; ask again.
     Unavailable,
 }
@@ -85,7 +85,7 @@
         result: PromoteResult,
     },
     /// An operator asks.
-    Ordered {
+    OperatorOrdered {
         /// Number of the order on this host.
         ticket: u64,
         /// The order.
@@ -93,13 +93,13 @@
     },
 }
 
-/// A fact worth a line in the log.
+/// An event that is written to the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ControlNote {
+pub enum ControlLogEvent {
     /// This host leads from this term on.
-    Leads(u64),
-    /// This host leads no longer.
-    LeadsNoMore,
+    LeadershipGained(u64),
+    /// This host no longer leads.
+    LeadershipLost,
     /// The voters changed.
     Voters(Vec<HostId>),
     /// A configuration is in force.
@@ -158,6 +158,6 @@
     },
     /// Answer an order.
     Answer(u64, OrderAnswer),
-    /// Write a line to the log.
-    Note(ControlNote),
+    /// Write an event to the log.
+    Log(ControlLogEvent),
 }
--- a/crates/decisions/src/control_role/control_host_state.rs
+++ b/crates/decisions/src/control_role/control_host_state.rs
@@ -5,7 +5,8 @@
 };
 
 use super::{
-    ControlEffect, ControlEvent, ControlMessage, ControlNote, EntryUpdate, order_flow::PendingOrder,
+    ControlEffect, ControlEvent, ControlLogEvent, ControlMessage, EntryUpdate,
+    order_flow::PendingOrder,
 };
 use crate::{
     agreement::{
@@ -40,7 +41,7 @@
 #[derive(Debug, Clone)]
 pub struct ControlSettings {
     /// Number of this host.
-    pub me: HostId,
+    pub host: HostId,
     /// Control hosts that may be asked first.
     pub seeds: BTreeSet<HostId>,
     /// The deployment starts for the first time, and the seeds are its voters.
@@ -68,7 +69,7 @@
         seed: u64,
     ) -> Self {
         Self {
-            me,
+            host: me,
             seeds,
             bootstrap,
             election_timeout: ELECTION_TIMEOUT,
@@ -92,9 +93,9 @@
     pub(super) told_hosts: u64,
 }
 
-/// What only the leader keeps; a new leader starts with an empty one.
+/// State that only the leader holds; a new leader starts with an empty one.
 #[derive(Debug)]
-pub(super) struct LeaderNotes {
+pub(super) struct LeaderState {
     pub(super) since: Moment,
     pub(super) leases: LeaseTable,
     pub(super) polls: BTreeMap<Arc<str>, (u64, SuspicionPoll)>,
@@ -125,7 +126,7 @@
     pub(super) directory: InstanceDirectory,
     pub(super) peers: BTreeSet<HostId>,
     pub(super) entries: BTreeMap<HostId, EntryProgress>,
-    pub(super) notes: Option<LeaderNotes>,
+    pub(super) leader_state: Option<LeaderState>,
     pub(super) orders: Vec<PendingOrder>,
     /// The configuration as entry hosts get it.
     pub(super) packed: Option<Arc<PackedRoutes>>,
@@ -154,7 +155,7 @@
             compaction_entries: COMPACTION_ENTRIES,
             seed: settings.seed,
         };
-        let agreement = AgreementState::restore(settings.me, agreement_settings, journal, now);
+        let agreement = AgreementState::restore(settings.host, agreement_settings, journal, now);
         let control = agreement.restored_state().clone();
         let mut host = Self {
             entry_index: control.applied,
@@ -163,7 +164,7 @@
             directory: InstanceDirectory::default(),
             peers: BTreeSet::new(),
             entries: BTreeMap::new(),
-            notes: None,
+            leader_state: None,
             orders: Vec::new(),
             packed: None,
             unsettled: UnsettledChange::default(),
@@ -195,7 +196,7 @@
             ControlEvent::PromoteAnswered { service, key, result } => {
                 self.promote_answered(now, &service, key, result);
             }
-            ControlEvent::Ordered { ticket, order } => self.ordered(now, ticket, order),
+            ControlEvent::OperatorOrdered { ticket, order } => self.ordered(now, ticket, order),
         }
         while self.unsettled.any {
             self.settle(now);
@@ -206,12 +207,12 @@
     /// When time alone changes something.
     pub fn next_due(&self, now: Moment) -> Moment {
         let agreement = self.agreement.next_due();
-        match &self.notes {
-            Some(notes) => notes
+        match &self.leader_state {
+            Some(leader_state) => leader_state
                 .changes
                 .values()
                 .map(|change| change.next_due(now))
-                .fold(agreement.min(notes.survey_due), Moment::min),
+                .fold(agreement.min(leader_state.survey_due), Moment::min),
             None => agreement,
         }
     }
@@ -233,7 +234,7 @@
 
     /// True if this host leads and can prove it.
     pub fn is_current(&self, now: Moment) -> bool {
-        self.notes.is_some() && self.agreement.is_current(now)
+        self.leader_state.is_some() && self.agreement.is_current(now)
     }
 
     fn tick(&mut self, now: Moment) {
@@ -254,12 +255,12 @@
 
     pub(super) fn known_hosts(&self) -> Vec<HostId> {
         let mut hosts = self.peers.clone();
-        hosts.insert(self.settings.me);
+        hosts.insert(self.settings.host);
         hosts.into_iter().collect()
     }
 
     fn know_peer(&mut self, peer: HostId) {
-        if peer != self.settings.me && self.peers.insert(peer) {
+        if peer != self.settings.host && self.peers.insert(peer) {
             self.effects.push(ControlEffect::Dial(peer));
             let hosts = self.known_hosts();
             self.update_entries(EntryUpdate::Hosts(hosts));
@@ -304,7 +305,7 @@
                 }
                 AgreementEffect::Installed(snapshot) => self.installed(now, *snapshot),
                 AgreementEffect::Elected(term) => self.elected(now, term),
-                AgreementEffect::Deposed => self.deposed(),
+                AgreementEffect::SteppedDown => self.deposed(),
             }
         }
     }
@@ -314,7 +315,7 @@
             EntryPayload::Voters { voters, .. } => {
                 voters.iter().for_each(|voter| self.know_peer(*voter));
                 let voters = voters.into_iter().collect();
-                self.effects.push(ControlEffect::Note(ControlNote::Voters(voters)));
+                self.effects.push(ControlEffect::Log(ControlLogEvent::Voters(voters)));
             }
             EntryPayload::Command(command) => {
                 self.control.apply(index, &command);
@@ -355,7 +356,7 @@
         let change = std::mem::take(&mut self.unsettled);
         if change.routes {
             let version = self.control.routes_version();
-            self.effects.push(ControlEffect::Note(ControlNote::Routes(version)));
+            self.effects.push(ControlEffect::Log(ControlLogEvent::Routes(version)));
         }
         change.services.iter().for_each(|service| self.note_term(service));
         if change.for_entries {
@@ -367,7 +368,7 @@
     fn note_term(&mut self, service: &Arc<str>) {
         if let Some(term) = self.control.terms.get(service) {
             let what = format!("primary {}, {:?}", term.primary, term.phase);
-            self.effects.push(ControlEffect::Note(ControlNote::Term {
+            self.effects.push(ControlEffect::Log(ControlLogEvent::Term {
                 service: service.clone(),
                 number: term.number,
                 what: Arc::from(what),
@@ -384,8 +385,8 @@
     }
 
     fn elected(&mut self, now: Moment, term: u64) {
-        self.effects.push(ControlEffect::Note(ControlNote::Leads(term)));
-        self.notes = Some(LeaderNotes {
+        self.effects.push(ControlEffect::Log(ControlLogEvent::LeadershipGained(term)));
+        self.leader_state = Some(LeaderState {
             since: now,
             leases: LeaseTable::new(now, self.settings.lease),
             polls: BTreeMap::new(),
@@ -400,13 +401,13 @@
         for peer in self.peers.clone() {
             self.agreement.admit_learner(now, peer);
         }
-        let leader = Some(self.settings.me);
+        let leader = Some(self.settings.host);
         self.update_entries(EntryUpdate::NotLeader { leader });
     }
 
     fn deposed(&mut self) {
-        self.effects.push(ControlEffect::Note(ControlNote::LeadsNoMore));
-        self.notes = None;
+        self.effects.push(ControlEffect::Log(ControlLogEvent::LeadershipLost));
+        self.leader_state = None;
         self.refuse_orders();
     }
 
--- a/crates/decisions/src/control_role/directory_flow.rs
+++ b/crates/decisions/src/control_role/directory_flow.rs
@@ -1,4 +1,4 @@
-use super::{ControlEffect, ControlHost, ControlMessage, ControlNote, EntryUpdate};
+use super::{ControlEffect, ControlHost, ControlLogEvent, ControlMessage, EntryUpdate};
 use crate::{
     clock::Moment,
     control_state::ControlCommand,
@@ -8,11 +8,11 @@
 impl ControlHost {
     /// A database announced itself at this host.
     pub(super) fn announced(&mut self, now: Moment, record: InstanceRecord) {
-        match self.directory.announce(now, &record) {
+        match self.directory.record_announcement(now, &record) {
             DirectoryChange::Stale => {}
             DirectoryChange::Refreshed => {
                 // Only the leader forgets silent databases.
-                if let Some(leader) = self.agreement.leader().filter(|l| *l != self.settings.me) {
+                if let Some(leader) = self.agreement.leader().filter(|l| *l != self.settings.host) {
                     self.send_peer(leader, ControlMessage::Announced(vec![record]));
                 }
             }
@@ -35,7 +35,9 @@
     pub(super) fn learn_instances(&mut self, now: Moment, records: Vec<InstanceRecord>) -> bool {
         let changed: Vec<InstanceRecord> = records
             .into_iter()
-            .filter(|record| self.directory.announce(now, record) == DirectoryChange::Changed)
+            .filter(|record| {
+                self.directory.record_announcement(now, record) == DirectoryChange::Changed
+            })
             .collect();
         let any = !changed.is_empty();
         if any {
@@ -53,7 +55,7 @@
 
     /// A database said at this host that it is gone.
     pub(super) fn departed(&mut self, now: Moment, departure: InstanceDeparture) {
-        if self.directory.depart(&departure) {
+        if self.directory.record_departure(&departure) {
             self.update_entries(EntryUpdate::Departed(vec![departure.clone()]));
             self.tell_peers(&ControlMessage::Departed(vec![departure]));
             self.lead(now);
@@ -61,8 +63,10 @@
     }
 
     pub(super) fn departed_elsewhere(&mut self, now: Moment, departures: Vec<InstanceDeparture>) {
-        let gone: Vec<InstanceDeparture> =
-            departures.into_iter().filter(|departure| self.directory.depart(departure)).collect();
+        let gone: Vec<InstanceDeparture> = departures
+            .into_iter()
+            .filter(|departure| self.directory.record_departure(departure))
+            .collect();
         if !gone.is_empty() {
             self.update_entries(EntryUpdate::Departed(gone));
             self.lead(now);
@@ -71,7 +75,7 @@
 
     pub(super) fn expired_elsewhere(&mut self, departures: Vec<InstanceDeparture>) {
         for departure in &departures {
-            self.directory.forget(departure);
+            self.directory.remove(departure);
         }
         self.update_entries(EntryUpdate::Expired(departures));
     }
@@ -95,7 +99,7 @@
             (false, InstanceRole::Replica) => "serves as replica",
         };
         let key = record.key.clone();
-        self.effects.push(ControlEffect::Note(ControlNote::Instance { key, what }));
+        self.effects.push(ControlEffect::Log(ControlLogEvent::Instance { key, what }));
     }
 
     fn tell_peers(&mut self, message: &ControlMessage) {
--- a/crates/decisions/src/control_role/entry_flow.rs
+++ b/crates/decisions/src/control_role/entry_flow.rs
@@ -82,10 +82,10 @@
     }
 
     fn grant(&mut self, now: Moment, host: HostId, sent_at: Moment) {
-        let Some(notes) = &mut self.notes else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let duration = notes.leases.grant(now, host);
+        let duration = leader_state.leases.grant(now, host);
         // Hosts that are down for a moment keep their share of connections.
         let entry_hosts = self.control.holders.len() as u32;
         let required_index = self.entry_index;
@@ -120,10 +120,10 @@
             .terms
             .get(service)
             .is_some_and(|term| term.number == number && term.is_steady());
-        let Some(notes) = self.notes.as_mut().filter(|_| fits) else {
+        let Some(leader_state) = self.leader_state.as_mut().filter(|_| fits) else {
             return;
         };
-        let entry = notes.polls.entry(service.clone()).or_default();
+        let entry = leader_state.polls.entry(service.clone()).or_default();
         if entry.0 != number {
             *entry = (number, Default::default());
         }
@@ -137,7 +137,7 @@
 
     /// Drops hosts that are long gone from the holders.
     pub(super) fn forget_holders(&mut self, now: Moment) {
-        let Some(notes) = &self.notes else {
+        let Some(leader_state) = &self.leader_state else {
             return;
         };
         let gone: Vec<HostId> = self
@@ -145,9 +145,10 @@
             .holders
             .iter()
             .filter(|host| {
-                let heard_at = self.entries.get(host).map_or(notes.since, |entry| entry.heard_at);
-                now.since(heard_at.max(notes.since)) > HOLDER_RETENTION
-                    && now >= notes.leases.end_of(**host)
+                let heard_at =
+                    self.entries.get(host).map_or(leader_state.since, |entry| entry.heard_at);
+                now.since(heard_at.max(leader_state.since)) > HOLDER_RETENTION
+                    && now >= leader_state.leases.expires_at(**host)
             })
             .copied()
             .collect();
--- a/crates/decisions/src/control_role/messages.rs
+++ b/crates/decisions/src/control_role/messages.rs
@@ -37,7 +37,7 @@
         applied: u64,
         /// Version of the configuration that it has.
         routes_version: u64,
-        /// It is stopping, and should be nobody's home.
+        /// It is stopping and must not be a gateway.
         leaving: bool,
     },
     /// Whether it reaches a primary.
@@ -81,7 +81,7 @@
     },
     /// Control hosts that the sender knows.
     Hosts(Vec<HostId>),
-    /// Entry hosts that may be homes of databases.
+    /// Entry hosts that may be gateways of databases.
     EntryHosts(Vec<HostId>),
     /// Databases announced themselves.
     Announced(Vec<InstanceRecord>),
--- a/crates/decisions/src/control_role/mod.rs
+++ b/crates/decisions/src/control_role/mod.rs
@@ -10,7 +10,7 @@
 mod term_flow;
 
 pub use control_event::{
-    ControlEffect, ControlEvent, ControlNote, OperatorOrder, OrderAnswer, PromoteResult,
+    ControlEffect, ControlEvent, ControlLogEvent, OperatorOrder, OrderAnswer, PromoteResult,
 };
 pub use control_host_state::{ControlHost, ControlSettings};
 pub use messages::{ControlMessage, EntryReport, EntryUpdate, LinkFrame, LinkRole};
--- a/crates/decisions/src/control_role/order_flow.rs
+++ b/crates/decisions/src/control_role/order_flow.rs
@@ -15,7 +15,7 @@
     pub(super) fn ordered(&mut self, now: Moment, ticket: u64, order: OperatorOrder) {
         if !self.agreement.is_leader() {
             let answer = match self.agreement.leader() {
-                Some(leader) => OrderAnswer::Elsewhere(leader),
+                Some(leader) => OrderAnswer::NotLeader(leader),
                 None => OrderAnswer::Unavailable,
             };
             return self.answer(ticket, answer);
--- a/crates/decisions/src/control_role/term_flow.rs
+++ b/crates/decisions/src/control_role/term_flow.rs
@@ -37,23 +37,25 @@
 
     /// Proposes a command unless the same was proposed a moment ago.
     pub(super) fn propose_once(&mut self, now: Moment, command: ControlCommand) {
-        let Some(notes) = &mut self.notes else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        notes.proposed.retain(|(_, until)| *until > now);
-        if notes.proposed.iter().any(|(proposed, _)| *proposed == command) {
+        leader_state.proposed.retain(|(_, until)| *until > now);
+        if leader_state.proposed.iter().any(|(proposed, _)| *proposed == command) {
             return;
         }
-        notes.proposed.push((command.clone(), now + PROPOSAL_QUIET));
+        leader_state.proposed.push((command.clone(), now + PROPOSAL_QUIET));
         self.propose(now, command);
     }
 
     fn survey(&mut self, now: Moment) {
-        let Some(notes) = self.notes.as_mut().filter(|notes| now >= notes.survey_due) else {
+        let Some(leader_state) =
+            self.leader_state.as_mut().filter(|leader_state| now >= leader_state.survey_due)
+        else {
             return;
         };
-        notes.survey_due = now + SURVEY_INTERVAL;
-        let since = notes.since;
+        leader_state.survey_due = now + SURVEY_INTERVAL;
+        let since = leader_state.since;
         if now.since(since) > self.settings.announcement_lifetime {
             self.expire_instances(now);
         }
@@ -62,13 +64,13 @@
 
     /// Remembers when this leader first saw each term steady.
     fn note_steady(&mut self, now: Moment) {
-        let Some(notes) = &mut self.notes else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         for term in self.control.terms.values().filter(|term| term.is_steady()) {
-            let known = notes.steady_since.get(&term.service);
+            let known = leader_state.steady_since.get(&term.service);
             if known.is_none_or(|(number, _)| *number != term.number) {
-                notes.steady_since.insert(term.service.clone(), (term.number, now));
+                leader_state.steady_since.insert(term.service.clone(), (term.number, now));
             }
         }
     }
@@ -84,7 +86,7 @@
                 });
             }
             let known = self.control.instances.get(&record.key.id);
-            if known.is_none_or(|known| !known.says_the_same(record)) {
+            if known.is_none_or(|known| !known.equals_ignoring_sequence(record)) {
                 wanted.push(ControlCommand::InstanceSeen(record.clone()));
             }
         }
@@ -110,16 +112,17 @@
 
     /// Whether the term should end, and whether the change is planned.
     fn reason_to_end(&self, now: Moment, term: &ServiceTerm) -> Option<bool> {
-        let notes = self.notes.as_ref()?;
-        let steady_since = match notes.steady_since.get(&term.service) {
+        let leader_state = self.leader_state.as_ref()?;
+        let steady_since = match leader_state.steady_since.get(&term.service) {
             Some((number, since)) if *number == term.number => *since,
             _ => now,
         };
         let has_other = self
             .directory
-            .of_service(&term.service)
+            .instances_of_service(&term.service)
             .any(|record| record.key.id != term.primary.id && !record.draining);
-        let polled = notes.polls.get(&term.service).filter(|(number, _)| *number == term.number);
+        let polled =
+            leader_state.polls.get(&term.service).filter(|(number, _)| *number == term.number);
         let suspected =
             polled.is_some_and(|(_, poll)| poll.is_confirmed(now, &self.serving_hosts(now)));
         if !has_other {
@@ -131,7 +134,10 @@
             TermPhase::Steady => match self.directory.get(&term.primary.id) {
                 Some(record) if record.draining => Some(true),
                 Some(record) if record.role == InstanceRole::Replica => {
-                    let silence = self.directory.silence(now, &record.key.id).unwrap_or_default();
+                    let silence = self
+                        .directory
+                        .time_since_announcement(now, &record.key.id)
+                        .unwrap_or_default();
                     (now.since(steady_since) > ROLE_SETTLING + silence).then_some(false)
                 }
                 Some(_) => None,
@@ -146,32 +152,35 @@
     }
 
     fn serving_hosts(&self, now: Moment) -> BTreeSet<HostId> {
-        let Some(notes) = &self.notes else {
+        let Some(leader_state) = &self.leader_state else {
             return BTreeSet::new();
         };
         let holders = self.control.holders.iter().copied();
-        holders.filter(|host| notes.leases.is_live(now, *host)).collect()
+        holders.filter(|host| leader_state.leases.has_live_lease(now, *host)).collect()
     }
 
     fn drive_changes(&mut self, now: Moment) {
         if self.control.terms.values().all(ServiceTerm::is_steady) {
             // At rest, as nearly always; this runs at every heartbeat.
-            self.notes.iter_mut().for_each(|notes| notes.changes.clear());
+            self.leader_state.iter_mut().for_each(|leader_state| leader_state.changes.clear());
             return;
         }
-        let Some(mut notes) = self.notes.take() else {
+        let Some(mut leader_state) = self.leader_state.take() else {
             return;
         };
         let applied: BTreeMap<HostId, u64> =
             self.entries.iter().map(|(host, entry)| (*host, entry.applied)).collect();
-        let view =
-            HolderView { holders: &self.control.holders, leases: &notes.leases, applied: &applied };
+        let view = HolderView {
+            holders: &self.control.holders,
+            leases: &leader_state.leases,
+            applied: &applied,
+        };
         let mut steps = Vec::new();
         let moving = self.control.terms.values().filter(|term| !term.is_steady());
         let mut changes = BTreeMap::new();
         for term in moving {
-            let mut change = match notes.changes.remove(&term.service) {
-                Some(change) if change.fits(term) => change,
+            let mut change = match leader_state.changes.remove(&term.service) {
+                Some(change) if change.matches_phase(term) => change,
                 Some(change) => change.next_phase(now, term),
                 None => TermChange::new(now, term),
             };
@@ -182,8 +191,8 @@
             steps.extend(next.into_iter().map(|step| (term.clone(), step)));
             changes.insert(term.service.clone(), change);
         }
-        notes.changes = changes;
-        self.notes = Some(notes);
+        leader_state.changes = changes;
+        self.leader_state = Some(leader_state);
         for (term, step) in steps {
             self.take_step(now, &term, step);
         }
@@ -192,7 +201,7 @@
     fn take_step(&mut self, now: Moment, term: &ServiceTerm, step: TermStep) {
         let (service, number) = (term.service.clone(), term.number);
         match step {
-            TermStep::Ask(key) => {
+            TermStep::AskStatus(key) => {
                 if let Some(record) = self.directory.get(&key.id) {
                     let address = record.address;
                     self.effects.push(ControlEffect::AskStatus { key, service, address });
@@ -208,7 +217,7 @@
             TermStep::Start => {
                 self.propose(now, ControlCommand::ServiceTermStarted { service, number });
             }
-            TermStep::Reopen => {
+            TermStep::Restart => {
                 self.propose(
                     now,
                     ControlCommand::ServiceTermEnded { service, number, planned: false },
@@ -224,7 +233,8 @@
         status: Option<InstanceStatus>,
     ) {
         let service = self.directory.get(&key.id).map(|record| record.service.clone());
-        let change = service.and_then(|service| self.notes.as_mut()?.changes.get_mut(&service));
+        let change =
+            service.and_then(|service| self.leader_state.as_mut()?.changes.get_mut(&service));
         if let (Some(change), Some(status)) = (change, status) {
             change.record_status(key, status);
             self.lead(now);
@@ -238,7 +248,10 @@
         key: InstanceKey,
         result: PromoteResult,
     ) {
-        let change = self.notes.as_mut().and_then(|notes| notes.changes.get_mut(service));
+        let change = self
+            .leader_state
+            .as_mut()
+            .and_then(|leader_state| leader_state.changes.get_mut(service));
         if let (Some(change), PromoteResult::NotRunning) = (change, result) {
             change.record_refusal(key);
             self.lead(now);
--- a/crates/decisions/src/control_state/control_command.rs
+++ b/crates/decisions/src/control_state/control_command.rs
@@ -31,8 +31,9 @@
     MemberDraining(GroupName, DatabaseName),
     /// A drained database is gone.
     MemberLeft(GroupName, DatabaseName),
-    /// The homes of a group change.
-    HomesAssigned(GroupName, Vec<HostId>),
+    /// The gateways of a group change.
+    #[serde(rename = "HomesAssigned")]
+    GatewaysAssigned(GroupName, Vec<HostId>),
     /// The group's term is to be replaced.
     TermEnded {
         /// The group.
--- a/crates/decisions/src/control_state/group_record.rs
+++ b/crates/decisions/src/control_state/group_record.rs
@@ -36,12 +36,12 @@
 
 impl MemberRecord {
     /// True if the member is one of the group's majority set.
-    pub fn counts(&self) -> bool {
+    pub fn counts_for_majority(&self) -> bool {
         matches!(self.standing, MemberStanding::Counting | MemberStanding::Draining)
     }
 
     /// True if the member may get new work.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         matches!(self.standing, MemberStanding::Counting | MemberStanding::Joining)
     }
 }
@@ -81,21 +81,23 @@
     /// All databases, by name.
     pub members: BTreeMap<DatabaseName, MemberRecord>,
     /// Hosts that hold connections to the group's databases.
-    pub homes: Vec<HostId>,
-    /// Parts that each database's connections are split into: one a home, and
-    /// one for a home that is being replaced.
-    pub home_shares: u32,
+    #[serde(rename = "homes")]
+    pub gateways: Vec<HostId>,
+    /// Parts that each database's connections are split into: one per gateway,
+    /// and one for a gateway that is being replaced.
+    #[serde(rename = "home_shares")]
+    pub gateway_shares: u32,
 }
 
 impl GroupRecord {
     /// Databases that make a majority of the group.
     pub fn majority(&self) -> usize {
-        self.counting().count() / 2 + 1
+        self.counting_members().count() / 2 + 1
     }
 
     /// Members that count for the majority.
-    pub fn counting(&self) -> impl Iterator<Item = &MemberRecord> {
-        self.members.values().filter(|member| member.counts())
+    pub fn counting_members(&self) -> impl Iterator<Item = &MemberRecord> {
+        self.members.values().filter(|member| member.counts_for_majority())
     }
 
     /// The highest term that this record reserves.
@@ -108,10 +110,10 @@
         }
     }
 
-    /// Connections to one database that each home may hold for requests: an
-    /// even split, less one connection a home for reports and orders.
-    pub fn share_of(&self, member: &MemberRecord) -> u32 {
-        let split = member.connections / self.home_shares.max(1);
+    /// Connections to one database that each gateway may hold for requests: an
+    /// even split, less one connection per gateway for reports and orders.
+    pub fn connection_share(&self, member: &MemberRecord) -> u32 {
+        let split = member.connections / self.gateway_shares.max(1);
         split.saturating_sub(1).max(1)
     }
 }
--- a/crates/decisions/src/control_state/control_state.rs
+++ b/crates/decisions/src/control_state/replicated_state.rs
@@ -25,9 +25,9 @@
 /// Audit records kept in memory; older ones are in the journal's snapshots.
 const MAX_AUDIT: usize = 10_000;
 
-/// Answer to a confirmation, kept for repeats.
+/// Result of a confirmation, kept to answer repeated requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ControlAnswer {
+pub struct ConfirmationResult {
     /// How it ended.
     pub result: ResultCode,
     /// Configuration version after it.
@@ -55,7 +55,7 @@
     /// Plans that can be confirmed.
     pub plans: IndexMap<Arc<str>, Plan>,
     /// Answers by request id.
-    pub answers: IndexMap<Arc<str>, ControlAnswer>,
+    pub answers: IndexMap<Arc<str>, ConfirmationResult>,
     /// The audit trail, oldest first.
     pub audit: Vec<AuditRecord>,
     /// The operator's whole configuration.
@@ -103,9 +103,9 @@
                 );
             }
             ControlCommand::MemberLeft(group, database) => self.remove_member(group, database),
-            ControlCommand::HomesAssigned(group, homes) => {
+            ControlCommand::GatewaysAssigned(group, homes) => {
                 if let Some(record) = self.groups.get_mut(group) {
-                    record.homes.clone_from(homes);
+                    record.gateways.clone_from(homes);
                 }
             }
             ControlCommand::TermEnded { group, expected, planned } => {
@@ -307,7 +307,7 @@
             self.version += 1;
         }
         self.record_audit(operator, id, changes, result, at);
-        let answer = ControlAnswer { result, version: self.version, changed_since };
+        let answer = ConfirmationResult { result, version: self.version, changed_since };
         self.answers.insert(request.clone(), answer);
         if self.answers.len() > MAX_ANSWERS {
             self.answers.shift_remove_index(0);
--- a/crates/decisions/src/directory/database_view.rs
+++ b/crates/decisions/src/directory/database_view.rs
@@ -35,9 +35,9 @@
     /// Connections in use.
     pub in_use: u32,
     /// Statements sent outside transactions and not answered yet.
-    pub statements: u32,
-    /// Failures since the last success.
-    pub failures: u32,
+    pub pending_statements: u32,
+    /// Failures since the last success; enough of them eject the database.
+    pub consecutive_failures: u32,
     ejected_until: Moment,
     service_time: Duration,
 }
@@ -50,8 +50,8 @@
             observed: None,
             share,
             in_use: 0,
-            statements: 0,
-            failures: 0,
+            pending_statements: 0,
+            consecutive_failures: 0,
             ejected_until: Moment::ZERO,
             service_time: INITIAL_SERVICE_TIME,
         }
@@ -66,13 +66,13 @@
     /// statements are held back beyond its slots, so that they wait here, where
     /// they take turns, and not in the database.
     pub fn is_available(&self, now: Moment, transaction: bool) -> bool {
-        let has_slot = transaction || self.statements < self.record.slots;
+        let has_slot = transaction || self.pending_statements < self.record.slots;
         self.in_use < self.share && has_slot && !self.is_ejected(now)
     }
 
     /// True if less than half of its slots are in use by this host.
-    pub fn is_at_ease(&self) -> bool {
-        self.statements * 2 < self.record.slots
+    pub fn is_lightly_loaded(&self) -> bool {
+        self.pending_statements * 2 < self.record.slots
     }
 
     /// True if the database gets no work because it kept failing.
@@ -86,7 +86,7 @@
     }
 
     /// Expected time to serve one more request, in microseconds.
-    pub fn expected_completion(&self) -> u64 {
+    pub fn expected_completion_us(&self) -> u64 {
         let slots = u64::from(self.record.slots.max(1));
         let service = self.service_time.as_micros() as u64;
         service + service * u64::from(self.in_use) / slots
@@ -94,7 +94,7 @@
 
     /// Records a request that was answered after `elapsed`.
     pub fn record_success(&mut self, elapsed: Duration) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
         let mean = self.service_time.as_secs_f64();
         let next = mean + SERVICE_TIME_GAIN * (elapsed.as_secs_f64() - mean);
         self.service_time = Duration::from_secs_f64(next);
@@ -102,15 +102,15 @@
 
     /// Records a failure to connect, to answer or to report.
     pub fn record_failure(&mut self, now: Moment) {
-        self.failures = self.failures.saturating_add(1);
-        if self.failures >= EJECTION_FAILURES {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        if self.consecutive_failures >= EJECTION_FAILURES {
             self.ejected_until = now + EJECTION_TIME;
         }
     }
 
     /// Ends an ejection, when the database reports again.
     pub fn record_report(&mut self, observed: ObservedStatus) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
         self.ejected_until = Moment::ZERO;
         self.observed = Some(observed);
     }
--- a/crates/decisions/src/entry_role/connection_state.rs
+++ b/crates/decisions/src/entry_role/connection_state.rs
@@ -1,6 +1,6 @@
 use std::{collections::BTreeMap, sync::Arc};
 
-use super::{PreparedShape, SessionState};
+use super::{PreparedStatement, SessionState};
 
 /// Prepared statements kept on one connection before it is cleared.
 const MAX_PREPARED: usize = 256;
@@ -22,7 +22,7 @@
         /// Its name on the connection.
         name: Arc<str>,
         /// What it runs.
-        prepared: PreparedShape,
+        prepared: PreparedStatement,
     },
 }
 
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub struct ConnectionState {
     values: BTreeMap<Arc<str>, Arc<str>>,
-    prepared: BTreeMap<PreparedShape, Arc<str>>,
+    prepared: BTreeMap<PreparedStatement, Arc<str>>,
 }
 
 impl ConnectionState {
@@ -58,7 +58,10 @@
 
     /// The connection's name of a prepared statement, and the step that
     /// prepares it if it is new.
-    pub fn prepared_name(&mut self, prepared: &PreparedShape) -> (Arc<str>, Option<RestoreStep>) {
+    pub fn prepared_name(
+        &mut self,
+        prepared: &PreparedStatement,
+    ) -> (Arc<str>, Option<RestoreStep>) {
         if let Some(name) = self.prepared.get(prepared) {
             return (name.clone(), None);
         }
--- a/crates/decisions/src/entry_role/entry_view.rs
+++ b/crates/decisions/src/entry_role/entry_view.rs
@@ -4,7 +4,7 @@
     time::Duration,
 };
 
-use super::{LoadTable, ReadMarks};
+use super::{LoadTable, SampledPositions};
 use crate::{
     clock::Moment,
     identity::HostId,
@@ -45,12 +45,12 @@
         connections: u32,
     },
     /// Through one of these hosts, the preferred one first.
-    Homes(Vec<HostId>),
+    Gateways(Vec<HostId>),
 }
 
-/// Whether a service's primary may be used.
+/// Whether this host may use a service's primary.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PrimaryUse {
+pub enum PrimaryAvailability {
     /// It may, in this term.
     Usable {
         /// The primary.
@@ -59,20 +59,20 @@
         number: u64,
     },
     /// Not now: no lease, or the primary is being replaced.
-    NotNow,
+    Unavailable,
 }
 
 /// What a read must see.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadNeed {
+pub enum ReadRequirement {
     /// Everything that was acknowledged: only the primary can tell.
     Latest,
-    /// This position; `settled` if replicas that keep up hold it.
+    /// This position; `likely_replicated` if replicas that keep up hold it.
     Position {
         /// The position.
         position: LogPosition,
-        /// It is older than the usual lag.
-        settled: bool,
+        /// It is older than the usual replication lag.
+        likely_replicated: bool,
     },
 }
 
@@ -98,7 +98,7 @@
     routes: Option<Arc<RouteTable>>,
     by_database: HashMap<Arc<str>, Arc<RouteRule>>,
     terms: BTreeMap<Arc<str>, ServiceTerm>,
-    marks: BTreeMap<Arc<str>, ReadMarks>,
+    marks: BTreeMap<Arc<str>, SampledPositions>,
     lease: HeldLease,
     applied: u64,
     entry_hosts: u32,
@@ -150,8 +150,8 @@
         true
     }
 
-    /// Takes a lease.
-    pub fn grant(
+    /// Extends the lease, counted from `sent_at`.
+    pub fn extend_lease(
         &mut self,
         sent_at: Moment,
         duration: Duration,
@@ -162,7 +162,7 @@
         self.entry_hosts = entry_hosts.max(1);
     }
 
-    /// Takes the entry hosts that may be homes.
+    /// Sets the entry hosts that may be gateways.
     pub fn set_entry_hosts(&mut self, hosts: Vec<HostId>) {
         self.homes = hosts;
     }
@@ -170,10 +170,10 @@
     /// How a host connects to a database, where `connections` may be opened by
     /// all hosts together.
     ///
-    /// With too few connections for every host to have a home's number, or with
-    /// more hosts than a database should have to take handshakes from, some
-    /// hosts are the database's homes: they alone connect to it, and the others
-    /// send their statements there.
+    /// With too few connections for every host to have a gateway's number, or
+    /// with more hosts than a database should have to accept handshakes from,
+    /// some hosts are the database's gateways: they alone connect to it, and the
+    /// others send their statements there.
     pub fn path_to(&self, me: HostId, instance: &str, connections: u32) -> DatabasePath {
         let hosts = self.entry_hosts;
         let for_all = connections >= HOME_CONNECTIONS * hosts && hosts <= MOST_DIRECT_HOSTS;
@@ -188,29 +188,29 @@
         }
         // Each host has an order of its own, so that the homes share the work.
         let key = [instance.as_bytes(), &me.0.to_be_bytes()].concat();
-        DatabasePath::Homes(rank_hosts(&key, ranked))
+        DatabasePath::Gateways(rank_hosts(&key, ranked))
     }
 
-    /// Takes announcements.
-    pub fn announced(&mut self, now: Moment, records: &[InstanceRecord]) {
+    /// Records announcements of databases.
+    pub fn record_announcements(&mut self, now: Moment, records: &[InstanceRecord]) {
         for record in records {
-            self.directory.announce(now, record);
+            self.directory.record_announcement(now, record);
         }
         self.prune_loads();
     }
 
-    /// Takes departures.
-    pub fn departed(&mut self, departures: &[InstanceDeparture]) {
+    /// Records that databases are gone.
+    pub fn record_departures(&mut self, departures: &[InstanceDeparture]) {
         for departure in departures {
-            self.directory.depart(departure);
+            self.directory.record_departure(departure);
         }
         self.prune_loads();
     }
 
-    /// Forgets databases that were silent for long.
-    pub fn expired(&mut self, departures: &[InstanceDeparture]) {
+    /// Removes databases whose announcements stayed away for too long.
+    pub fn remove_expired(&mut self, departures: &[InstanceDeparture]) {
         for departure in departures {
-            self.directory.forget(departure);
+            self.directory.remove(departure);
         }
         self.prune_loads();
     }
@@ -246,8 +246,8 @@
     }
 
     /// Time for which the lease still holds.
-    pub fn lease_left(&self, now: Moment) -> Duration {
-        self.lease.left(now, self.applied)
+    pub fn lease_remaining(&self, now: Moment) -> Duration {
+        self.lease.remaining(now, self.applied)
     }
 
     /// The primary's record and term, whether or not it may be used.
@@ -257,7 +257,7 @@
 
     /// The database with this key, if it is still the newest start.
     pub fn instance(&self, key: &InstanceKey) -> Option<&InstanceRecord> {
-        self.directory.find(key)
+        self.directory.get_by_key(key)
     }
 
     /// The newest start of a database by its id.
@@ -266,16 +266,18 @@
     }
 
     /// Whether the service's primary may be used now.
-    pub fn primary(&self, now: Moment, service: &str) -> PrimaryUse {
+    pub fn primary(&self, now: Moment, service: &str) -> PrimaryAvailability {
         if !self.has_lease(now) {
-            return PrimaryUse::NotNow;
+            return PrimaryAvailability::Unavailable;
         }
         let Some(term) = self.terms.get(service).filter(|term| term.is_steady()) else {
-            return PrimaryUse::NotNow;
+            return PrimaryAvailability::Unavailable;
         };
-        match self.directory.find(&term.primary) {
-            Some(record) => PrimaryUse::Usable { record: record.clone(), number: term.number },
-            None => PrimaryUse::NotNow,
+        match self.directory.get_by_key(&term.primary) {
+            Some(record) => {
+                PrimaryAvailability::Usable { record: record.clone(), number: term.number }
+            }
+            None => PrimaryAvailability::Unavailable,
         }
     }
 
@@ -285,8 +287,9 @@
             && self.terms.get(service).is_some_and(|term| term.accepts_answers(number))
     }
 
-    /// Notes a position that the primary showed.
-    pub fn saw_primary(
+    /// Records a position that the primary reported, if the lease and the term
+    /// still hold.
+    pub fn record_primary_position(
         &mut self,
         now: Moment,
         service: &Arc<str>,
@@ -300,14 +303,14 @@
     }
 
     /// What a read of this route must see.
-    pub fn read_need(
+    pub fn read_requirement(
         &self,
         now: Moment,
         route: &RouteRule,
         last_commit: Option<LogPosition>,
-    ) -> ReadNeed {
+    ) -> ReadRequirement {
         let (max_age, own) = match route.kind {
-            RouteKind::Primary => return ReadNeed::Latest,
+            RouteKind::Primary => return ReadRequirement::Latest,
             RouteKind::BoundedStaleness { max_age } => (max_age, None),
             RouteKind::ReadYourWrites { max_age } => (max_age, last_commit),
         };
@@ -315,13 +318,13 @@
         let mark =
             marks.and_then(|marks| marks.oldest_within(now, max_age.saturating_sub(AGE_MARGIN)));
         let Some((at, position)) = mark else {
-            return ReadNeed::Latest;
+            return ReadRequirement::Latest;
         };
         match own.filter(|own| *own > position) {
-            Some(own) => ReadNeed::Position { position: own, settled: false },
+            Some(own) => ReadRequirement::Position { position: own, likely_replicated: false },
             None => {
                 let settled = now.since(at) >= SETTLED_AGE;
-                ReadNeed::Position { position, settled }
+                ReadRequirement::Position { position, likely_replicated: settled }
             }
         }
     }
@@ -331,19 +334,19 @@
         &self,
         now: Moment,
         service: &str,
-        need: ReadNeed,
+        need: ReadRequirement,
         tried: &[InstanceKey],
     ) -> ReadTarget {
-        let ReadNeed::Position { position, settled } = need else {
+        let ReadRequirement::Position { position, likely_replicated: settled } = need else {
             return ReadTarget::Primary;
         };
         let primary = match self.primary(now, service) {
-            PrimaryUse::Usable { record, .. } => Some(record),
-            PrimaryUse::NotNow => None,
+            PrimaryAvailability::Usable { record, .. } => Some(record),
+            PrimaryAvailability::Unavailable => None,
         };
         let replicas = self
             .directory
-            .of_service(service)
+            .instances_of_service(service)
             .filter(|record| !record.draining && !tried.contains(&record.key))
             .filter(|record| primary.as_ref().is_none_or(|primary| primary.key != record.key));
         let best = replicas
@@ -374,6 +377,6 @@
 
     fn prune_loads(&mut self) {
         let directory = &self.directory;
-        self.loads.retain(|key| directory.find(key).is_some());
+        self.loads.retain(|key| directory.get_by_key(key).is_some());
     }
 }
--- a/crates/decisions/src/entry_role/home_load.rs
+++ b/crates/decisions/src/entry_role/gateway_load.rs
@@ -15,33 +15,33 @@
 /// so that a home that was slow is tried again.
 const FORGOTTEN_PART: f64 = 0.1;
 
-/// What a host saw of one home of a database.
+/// What a host measured of one gateway of a database.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct HomeLoad {
+pub struct GatewayLoad {
     answer_ms: f64,
     crowded_until: Option<Moment>,
     avoided_until: Option<Moment>,
 }
 
-impl HomeLoad {
-    /// The home answered after `took`.
-    pub fn answered(&mut self, took: Duration) {
+impl GatewayLoad {
+    /// Records an answer that the gateway gave after `took`.
+    pub fn record_answer(&mut self, took: Duration) {
         let took_ms = took.as_secs_f64() * 1_000.0;
         self.answer_ms += ANSWER_WEIGHT * (took_ms - self.answer_ms);
     }
 
-    /// The home had no connection free in time.
-    pub fn was_crowded(&mut self, now: Moment) {
+    /// Records that the gateway had no connection free in time.
+    pub fn record_no_connection(&mut self, now: Moment) {
         self.crowded_until = Some(now + CROWDED_TIME);
     }
 
-    /// Passes over the home until then.
-    pub fn avoid(&mut self, until: Moment) {
+    /// Skips the gateway until then.
+    pub fn avoid_until(&mut self, until: Moment) {
         self.avoided_until = Some(until);
     }
 
-    /// Forgets a little of what it remembers.
-    pub fn fade(&mut self) {
+    /// Lowers the remembered answer time, so that a slow gateway is tried again.
+    pub fn decay(&mut self) {
         self.answer_ms *= 1.0 - FORGOTTEN_PART;
     }
 
@@ -54,11 +54,11 @@
     }
 }
 
-/// Which of a database's homes gets the next statement: of the first two in this
-/// host's order that can be reached and had connections free, the first unless
-/// it is clearly slower. With none like that, the first that can be reached;
-/// `None` without homes.
-pub fn choose_home(homes: &[HomeLoad], now: Moment) -> Option<usize> {
+/// Which of a database's gateways gets the next statement: of the first two in
+/// this host's order that can be reached and had connections free, the first
+/// unless it is clearly slower. With none like that, the first that can be
+/// reached; `None` without gateways.
+pub fn choose_gateway(homes: &[GatewayLoad], now: Moment) -> Option<usize> {
     let reachable = || (0..homes.len()).filter(|place| !homes[*place].is_avoided(now));
     let calm = reachable().filter(|place| !homes[*place].is_crowded(now));
     let mut compared = calm.take(COMPARED_HOMES);
--- a/crates/decisions/src/entry_role/inflight_window.rs
+++ b/crates/decisions/src/entry_role/inflight_window.rs
@@ -30,23 +30,23 @@
         self.size as usize
     }
 
-    /// Sets how far the window may grow.
-    pub fn set_largest(&mut self, connections: usize) {
+    /// Sets the largest size of the window, in statements.
+    pub fn set_max(&mut self, connections: usize) {
         self.largest = connections.max(1) as f64;
         self.size = self.size.min(self.largest);
     }
 
-    /// A statement was answered while `running` were under way.
-    pub fn answered(&mut self, running: usize) {
+    /// Records an answer given while `running` statements were under way.
+    pub fn record_answer(&mut self, running: usize) {
         self.answered_since_shrink = self.answered_since_shrink.saturating_add(1);
         if running >= self.limit() {
             self.size = (self.size + 1.0 / self.size).min(self.largest);
         }
     }
 
-    /// The database had no room. Refusals of statements that were sent before
-    /// the last shrink do not count again.
-    pub fn refused(&mut self) {
+    /// Records that the database had no room. Refusals of statements that were
+    /// sent before the last shrink do not count again.
+    pub fn record_refusal(&mut self) {
         if self.answered_since_shrink >= self.limit() as u32 {
             self.size = (self.size * SHRINK_FACTOR).max(self.smallest);
             self.answered_since_shrink = 0;
--- a/crates/decisions/src/entry_role/instance_load.rs
+++ b/crates/decisions/src/entry_role/instance_load.rs
@@ -74,12 +74,12 @@
 
     /// Expected time to a result, for comparison only, in milliseconds.
     pub fn expected_ms(&self, now: Moment) -> f64 {
-        let failures = 1.0 + (FAILURE_COST - 1.0) * self.failing_share(now);
+        let failures = 1.0 + (FAILURE_COST - 1.0) * self.failure_share(now);
         self.latency_ms * f64::from(self.outstanding + 1) * failures
     }
 
     /// Share of what ran here that failed, by what is remembered of it.
-    pub fn failing_share(&self, now: Moment) -> f64 {
+    pub fn failure_share(&self, now: Moment) -> f64 {
         let (share, at) = self.failing;
         let half_lives = now.since(at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
         share * 0.5f64.powf(half_lives)
@@ -98,13 +98,13 @@
         self.loads.get(key).cloned().unwrap_or_default()
     }
 
-    /// A statement is on its way.
-    pub fn started(&mut self, key: &InstanceKey) {
+    /// Records that a statement was sent.
+    pub fn record_start(&mut self, key: &InstanceKey) {
         self.loads.entry(key.clone()).or_default().outstanding += 1;
     }
 
-    /// A statement is over; `latency` is set if it was answered.
-    pub fn finished(&mut self, key: &InstanceKey, latency: Option<Duration>) {
+    /// Records that a statement ended; `latency` is set if it was answered.
+    pub fn record_finish(&mut self, key: &InstanceKey, latency: Option<Duration>) {
         let load = self.loads.entry(key.clone()).or_default();
         load.outstanding = load.outstanding.saturating_sub(1);
         if let Some(latency) = latency {
@@ -115,33 +115,33 @@
         }
     }
 
-    /// The database ran a statement to its end, or failed it.
-    pub fn ran(&mut self, now: Moment, key: &InstanceKey, failed: bool) {
+    /// Records whether the database ran a statement to its end or failed it.
+    pub fn record_result(&mut self, now: Moment, key: &InstanceKey, failed: bool) {
         let load = self.loads.entry(key.clone()).or_default();
-        let before = load.failing_share(now);
+        let before = load.failure_share(now);
         let outcome = f64::from(u8::from(failed));
         load.failing = (before + FAILURE_WEIGHT * (outcome - before), now);
     }
 
-    /// An answer carried a position.
-    pub fn saw_position(&mut self, key: &InstanceKey, position: LogPosition) {
+    /// Records a position that came with an answer.
+    pub fn record_position(&mut self, key: &InstanceKey, position: LogPosition) {
         let load = self.loads.entry(key.clone()).or_default();
         if load.position.is_none_or(|held| held < position) {
             load.position = Some(position);
         }
     }
 
-    /// The database could not be reached or broke off.
-    pub fn failed(&mut self, now: Moment, key: &InstanceKey) {
+    /// Records that the database could not be reached or closed the connection.
+    pub fn record_unreachable(&mut self, now: Moment, key: &InstanceKey) {
         let load = self.loads.entry(key.clone()).or_default();
         let doubled = FIRST_AVOIDANCE * 2u32.pow(load.failures.min(4));
         load.failures += 1;
         load.avoid_until = now + doubled.min(LONGEST_AVOIDANCE);
     }
 
-    /// The database lacked a position. Reads that accept an older one still go
+    /// Records that the database lacked a position. Reads that accept an older one still go
     /// there.
-    pub fn lagged(&mut self, now: Moment, key: &InstanceKey, position: LogPosition) {
+    pub fn record_lag(&mut self, now: Moment, key: &InstanceKey, position: LogPosition) {
         let load = self.loads.entry(key.clone()).or_default();
         let lacked = load.lacking.filter(|(_, until)| now < *until).map(|(lacked, _)| lacked);
         let oldest = lacked.map_or(position, |lacked| lacked.min(position));
--- a/crates/decisions/src/entry_role/read_marks.rs
+++ b/crates/decisions/src/entry_role/sampled_positions.rs
@@ -11,12 +11,12 @@
 /// Positions of a service's primary, each with the moment its statement was
 /// sent: the primary's log then held every commit acknowledged before.
 #[derive(Debug, Default)]
-pub struct ReadMarks {
+pub struct SampledPositions {
     marks: VecDeque<(Moment, LogPosition)>,
 }
 
-impl ReadMarks {
-    /// Notes a position that came with an answer to a statement sent at
+impl SampledPositions {
+    /// Records a position that came with an answer to a statement sent at
     /// `sent_at`, while the lease held.
     pub fn record(&mut self, sent_at: Moment, position: LogPosition) {
         if let Some((last, last_position)) = self.marks.back_mut() {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The oldest mark that is no older than `max_age`: what a read needs to
+    /// The oldest sample that is no older than `max_age`: what a read needs to
     /// see at least.
     pub fn oldest_within(&self, now: Moment, max_age: Duration) -> Option<(Moment, LogPosition)> {
         self.marks.iter().find(|(at, _)| now.since(*at) <= max_age).copied()
--- a/crates/decisions/src/entry_role/session_state.rs
+++ b/crates/decisions/src/entry_role/session_state.rs
@@ -4,7 +4,7 @@
 
 /// What a prepared statement runs, without its arguments.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PreparedShape {
+pub struct PreparedStatement {
     /// It writes.
     pub writes: bool,
     /// Its text.
@@ -36,7 +36,7 @@
     /// Session values.
     pub values: BTreeMap<Arc<str>, Arc<str>>,
     /// Prepared statements by the caller's names.
-    pub prepared: BTreeMap<Arc<str>, PreparedShape>,
+    pub prepared: BTreeMap<Arc<str>, PreparedStatement>,
     /// Position of the session's last commit.
     pub last_commit: Option<LogPosition>,
     /// Its transaction.
@@ -55,8 +55,9 @@
 }
 
 impl SessionState {
-    /// Notes a commit of this session.
-    pub fn committed(&mut self, position: Option<LogPosition>) {
+    /// Records the position of a commit of this session; an older one changes
+    /// nothing.
+    pub fn record_commit(&mut self, position: Option<LogPosition>) {
         self.last_commit = self.last_commit.max(position);
     }
 }
--- a/crates/decisions/src/failover/change_of_primary.rs
+++ b/crates/decisions/src/failover/primary_change.rs
@@ -28,12 +28,12 @@
     Propose(ControlCommand),
 }
 
-/// The leader's working notes on one change of primary.
+/// The leader's state of one change of primary.
 ///
-/// All that must survive the leader is in the committed record; these notes
-/// are gathered again by the next one.
+/// All that must survive the leader is in the committed record; the next leader
+/// gathers this state again.
 #[derive(Debug)]
-pub struct ChangeOfPrimary {
+pub struct PrimaryChange {
     /// The term that the change leads to.
     pub next_term: u64,
     started_at: Moment,
@@ -46,10 +46,10 @@
     proposed: bool,
 }
 
-impl ChangeOfPrimary {
-    /// Notes for the change in `record` that this leader begins to drive.
+impl PrimaryChange {
+    /// State for the change in `record` that this leader begins to drive.
     pub fn new(now: Moment, record: &GroupRecord, leases: &LeaseTable) -> Self {
-        let lease_ends = record.homes.iter().map(|home| (*home, leases.end_of(*home)));
+        let lease_ends = record.gateways.iter().map(|home| (*home, leases.expires_at(*home)));
         Self {
             lease_ends: lease_ends.collect(),
             next_term: record.highest_term(),
@@ -61,14 +61,14 @@
         }
     }
 
-    /// A home confirmed that it acknowledges nothing below `term`.
+    /// Records that a gateway acknowledges nothing below `term`.
     pub fn record_fenced(&mut self, home: HostId, term: u64) {
         if term >= self.next_term {
             self.fenced_homes.insert(home);
         }
     }
 
-    /// A database answered an order.
+    /// Records the status with which a database answered an order.
     pub fn record_status(&mut self, database: DatabaseName, status: DatabaseStatus) {
         self.statuses.insert(database, status);
     }
@@ -90,18 +90,18 @@
     }
 
     fn fence(&mut self, now: Moment, record: &GroupRecord, planned: bool) -> Vec<ChangeStep> {
-        let homes_done = record.homes.iter().all(|home| self.is_home_done(now, *home));
+        let homes_done = record.gateways.iter().all(|home| self.is_home_done(now, *home));
         if planned && !self.has_successor(now, record) {
             return if homes_done { self.catch_up(now, record) } else { Vec::new() };
         }
         let mut steps = Vec::new();
         let order = DatabaseOrder::Fence { term: self.next_term };
-        for member in record.counting() {
+        for member in record.counting_members() {
             if !self.is_fenced(&member.database) {
                 steps.extend(self.order(now, &member.database, &order));
             }
         }
-        let fenced = record.counting().filter(|m| self.is_fenced(&m.database)).count();
+        let fenced = record.counting_members().filter(|m| self.is_fenced(&m.database)).count();
         if !homes_done || fenced < record.majority() || self.proposed {
             return steps;
         }
@@ -121,7 +121,7 @@
     fn catch_up(&mut self, now: Moment, record: &GroupRecord) -> Vec<ChangeStep> {
         let fence = DatabaseOrder::Fence { term: self.next_term };
         let members: Vec<DatabaseName> =
-            record.counting().map(|member| member.database.clone()).collect();
+            record.counting_members().map(|member| member.database.clone()).collect();
         members
             .into_iter()
             .filter_map(|database| {
@@ -146,7 +146,7 @@
         };
         self.is_fenced(&record.primary)
             && record
-                .counting()
+                .counting_members()
                 .filter(|member| member.database != record.primary && stays(member))
                 .filter_map(|member| self.statuses.get(&member.database))
                 .any(|status| status.covers(last.position))
@@ -166,7 +166,7 @@
     /// majority, and so by one of any fenced majority.
     fn choose(&self, record: &GroupRecord, planned: bool) -> Option<DatabaseName> {
         let fenced: Vec<(&MemberRecord, &DatabaseStatus)> = record
-            .counting()
+            .counting_members()
             .filter(|member| self.is_fenced(&member.database))
             .filter_map(|member| Some((member, self.statuses.get(&member.database)?)))
             .collect();
--- a/crates/decisions/src/failover/suspicion_table.rs
+++ b/crates/decisions/src/failover/suspicion_table.rs
@@ -35,10 +35,10 @@
         !self.suspicions.is_empty()
     }
 
-    /// True if a majority of the group's live homes suspects the primary of
+    /// True if a majority of the group's live gateways suspects the primary of
     /// the record's term, so that one host's broken path is not enough.
     pub fn is_confirmed(&self, now: Moment, record: &GroupRecord, leases: &LeaseTable) -> bool {
-        let live = record.homes.iter().filter(|home| leases.is_live(now, **home));
+        let live = record.gateways.iter().filter(|home| leases.has_live_lease(now, **home));
         let needed = live.clone().count() / 2 + 1;
         live.filter(|home| self.suspects(now, record, **home)).count() >= needed
     }
--- a/crates/decisions/src/instances/instance_directory.rs
+++ b/crates/decisions/src/instances/instance_directory.rs
@@ -32,8 +32,8 @@
 }
 
 impl InstanceDirectory {
-    /// Takes an announcement.
-    pub fn announce(&mut self, now: Moment, record: &InstanceRecord) -> DirectoryChange {
+    /// Records an announcement.
+    pub fn record_announcement(&mut self, now: Moment, record: &InstanceRecord) -> DirectoryChange {
         let id = &record.key.id;
         if self.departed.get(id).is_some_and(|born| record.key.born_ms <= *born) {
             return DirectoryChange::Stale;
@@ -44,7 +44,7 @@
                 return DirectoryChange::Stale;
             }
             known.heard_at = now;
-            if known.record.says_the_same(record) {
+            if known.record.equals_ignoring_sequence(record) {
                 known.record = record.clone();
                 return DirectoryChange::Refreshed;
             }
@@ -58,7 +58,7 @@
     }
 
     /// Removes a database that said it is gone; true if it was known.
-    pub fn depart(&mut self, departure: &InstanceDeparture) -> bool {
+    pub fn record_departure(&mut self, departure: &InstanceDeparture) -> bool {
         let known = self.instances.get(&departure.id).map(|heard| heard.record.key.born_ms);
         let Some(born_ms) = departure.born_ms.or(known) else {
             return false;
@@ -78,7 +78,7 @@
     }
 
     /// Removes one start of a database that may announce itself again.
-    pub fn forget(&mut self, departure: &InstanceDeparture) {
+    pub fn remove(&mut self, departure: &InstanceDeparture) {
         let known = self.instances.get(&departure.id).map(|heard| heard.record.key.born_ms);
         if known.is_some() && departure.born_ms.is_none_or(|born| known <= Some(born)) {
             self.instances.remove(&departure.id);
@@ -108,17 +108,17 @@
     }
 
     /// One start of a database, if it is still the newest.
-    pub fn find(&self, key: &InstanceKey) -> Option<&InstanceRecord> {
+    pub fn get_by_key(&self, key: &InstanceKey) -> Option<&InstanceRecord> {
         self.get(&key.id).filter(|record| record.key == *key)
     }
 
-    /// Time since the database was last heard.
-    pub fn silence(&self, now: Moment, id: &str) -> Option<Duration> {
+    /// Time since the last announcement of the database.
+    pub fn time_since_announcement(&self, now: Moment, id: &str) -> Option<Duration> {
         self.instances.get(id).map(|heard| now.since(heard.heard_at))
     }
 
     /// Databases of a service.
-    pub fn of_service<'a>(
+    pub fn instances_of_service<'a>(
         &'a self,
         service: &'a str,
     ) -> impl Iterator<Item = &'a InstanceRecord> + 'a {
--- a/crates/decisions/src/instances/instance_record.rs
+++ b/crates/decisions/src/instances/instance_record.rs
@@ -51,8 +51,8 @@
 }
 
 impl InstanceRecord {
-    /// True if both say the same apart from the count of announcements.
-    pub fn says_the_same(&self, other: &Self) -> bool {
+    /// True if both are equal apart from the sequence number of the announcement.
+    pub fn equals_ignoring_sequence(&self, other: &Self) -> bool {
         self.key == other.key
             && self.service == other.service
             && self.address == other.address
--- a/crates/decisions/src/leases/held_lease.rs
+++ b/crates/decisions/src/leases/held_lease.rs
@@ -20,7 +20,7 @@
     }
 
     /// Time for which the lease still holds, zero if it does not.
-    pub fn left(&self, now: Moment, applied: u64) -> Duration {
+    pub fn remaining(&self, now: Moment, applied: u64) -> Duration {
         match self.is_valid(now, applied) {
             true => self.ends_at.since(now),
             false => Duration::ZERO,
--- a/crates/decisions/src/leases/lease_table.rs
+++ b/crates/decisions/src/leases/lease_table.rs
@@ -22,7 +22,7 @@
         table
     }
 
-    /// Notes a lease granted now and returns its length for the holder.
+    /// Records a lease granted now and returns its length for the holder.
     pub fn grant(&mut self, now: Moment, host: HostId) -> Duration {
         self.ends_at.insert(host, self.end_after(now));
         self.duration
@@ -30,18 +30,18 @@
 
     /// When the last lease of the host granted so far runs out, by whichever
     /// leader it was granted.
-    pub fn end_of(&self, host: HostId) -> Moment {
+    pub fn expires_at(&self, host: HostId) -> Moment {
         let known = self.ends_at.get(&host).copied().unwrap_or(Moment::ZERO);
         known.max(self.unknown_until)
     }
 
     /// Time since the host's lease ran out, zero while it may hold.
-    pub fn expired_for(&self, now: Moment, host: HostId) -> Duration {
-        now.since(self.end_of(host))
+    pub fn time_since_expiry(&self, now: Moment, host: HostId) -> Duration {
+        now.since(self.expires_at(host))
     }
 
     /// True if the host renewed with this leader and its lease holds.
-    pub fn is_live(&self, now: Moment, host: HostId) -> bool {
+    pub fn has_live_lease(&self, now: Moment, host: HostId) -> bool {
         self.ends_at.get(&host).is_some_and(|end| now < *end)
     }
 
--- a/crates/decisions/src/outcomes/result_code.rs
+++ b/crates/decisions/src/outcomes/result_code.rs
@@ -38,7 +38,7 @@
             }
 
             /// What the reader can do about it.
-            pub const fn mend(self) -> &'static str {
+            pub const fn remedy(self) -> &'static str {
                 match self { $(Self::$name => $mend,)* }
             }
         }
@@ -78,7 +78,7 @@
     Cancelled = 204, "57014", Unknown, "The request was cancelled while it ran.", "Ask with a read before sending it again.";
     /// The upstream answered out of protocol.
     UpstreamConfused = 205, "08P01", Unknown, "The database answered out of order; its connection was closed.", "Ask with a read, or send it again with the same request key.";
-    /// No keeper of the session confirmed the mark of the write.
+    /// No position host of the session confirmed the position of the write.
     MarkNotStored = 206, "08007", Unknown, "The write is held by a majority but no keeper of the session confirmed its mark in time.", "Keep the session token, or send it again with the same request key.";
     /// A setting has a bad value.
     BadSetting = 301, "22023", DidNotRun, "The value of a hawthornstack setting is not valid; nothing was changed.", "Correct the value; see docs/SETTINGS.md.";
--- a/crates/decisions/src/pg_host/control_flow.rs
+++ b/crates/decisions/src/pg_host/control_flow.rs
@@ -6,7 +6,7 @@
     clock::Moment,
     control_state::{ControlCommand, ControlState, HostRecord},
     identity::{HostId, RequestId},
-    sessions::{MarkStore, rank_hosts},
+    sessions::{PositionStore, rank_hosts},
 };
 
 /// Commands kept for subscribers that are a little behind.
@@ -59,8 +59,8 @@
                     state.applied = state.applied.max(snapshot.index);
                     self.replace_control(now, state);
                 }
-                AgreementEffect::Elected(term) => self.begin_duty(now, term),
-                AgreementEffect::Deposed => self.end_duty(),
+                AgreementEffect::Elected(term) => self.start_leading(now, term),
+                AgreementEffect::SteppedDown => self.stop_leading(),
             }
         }
         if let Some(agreement) = &self.agreement
@@ -122,7 +122,7 @@
             ControlCommand::LeaderElected | ControlCommand::PlanMade(_) => {}
             ControlCommand::HostJoined(HostRecord { id, .. }) | ControlCommand::HostLeft(id) => {
                 if self.control.hosts_version != hosts_version {
-                    self.marks.forget_moved(*id);
+                    self.marks.remove_moved(*id);
                 }
             }
             ControlCommand::GroupFormed(record) => self.refresh_group(now, &record.name),
@@ -130,7 +130,7 @@
             | ControlCommand::MemberCounts(group, _)
             | ControlCommand::MemberDraining(group, _)
             | ControlCommand::MemberLeft(group, _)
-            | ControlCommand::HomesAssigned(group, _)
+            | ControlCommand::GatewaysAssigned(group, _)
             | ControlCommand::TermEnded { group, .. }
             | ControlCommand::PrimaryChosen { group, .. }
             | ControlCommand::TermStarted { group, .. } => self.refresh_group(now, group),
@@ -148,7 +148,7 @@
         if state.applied > self.control.applied {
             self.control = state;
             // Which hosts came and went in between is not known.
-            self.marks = MarkStore::default();
+            self.marks = PositionStore::default();
             self.recent.clear();
             self.refresh_groups(now);
         }
--- a/crates/decisions/src/pg_host/home_flow.rs
+++ b/crates/decisions/src/pg_host/gateway_flow.rs
@@ -36,7 +36,7 @@
         let Some(record) = record else {
             return self.leave_group(now, name);
         };
-        let is_home = record.homes.contains(&me);
+        let is_home = record.gateways.contains(&me);
         if !is_home && !self.groups.contains_key(name) {
             return;
         }
@@ -51,12 +51,12 @@
         view.max_waiting = max_waiting as usize;
         if new_term {
             view.samples.clear();
-            view.primary_heard_at = now;
+            view.primary_reported_at = now;
             view.primary_failures = 0;
             view.majority_moved_at = now;
         }
         if phase_changed {
-            view.leader_told_at = Moment::ZERO;
+            view.leader_notified_at = Moment::ZERO;
         }
         self.refresh_databases(name);
         self.tend_group(now, name);
@@ -100,8 +100,8 @@
         };
         let record = &view.record;
         for member in record.members.values() {
-            let wanted = member.counts() || member.takes_work();
-            let share = record.share_of(member);
+            let wanted = member.counts_for_majority() || member.accepts_work();
+            let share = record.connection_share(member);
             match view.databases.get_mut(&member.database) {
                 Some(database) if wanted => {
                     database.share = share;
--- a/crates/decisions/src/pg_host/group_view.rs
+++ b/crates/decisions/src/pg_host/group_view.rs
@@ -21,12 +21,12 @@
     pub request: RequestId,
 }
 
-/// What a home knows of one group.
+/// What a gateway knows of one group.
 #[derive(Debug)]
 pub struct GroupView {
     /// The committed record, as last applied here.
     pub record: GroupRecord,
-    /// Other homes took this host's place; it only finishes what runs.
+    /// Other gateways replaced this host; it only finishes what runs.
     pub retiring: bool,
     /// The databases that may be used or watched.
     pub databases: BTreeMap<DatabaseName, DatabaseView>,
@@ -39,19 +39,19 @@
     /// Writes that wait for a majority, by position.
     pub unconfirmed: BTreeSet<UnconfirmedWrite>,
     /// When the primary last reported in its term.
-    pub primary_heard_at: Moment,
+    pub primary_reported_at: Moment,
     /// Failures to reach the primary since then.
     pub primary_failures: u32,
     /// Highest position that a majority was seen to hold.
-    pub majority_held: LogPosition,
+    pub majority_position: LogPosition,
     /// When that last moved, or was level with the primary.
     pub majority_moved_at: Moment,
     /// Result of a full queue for this group.
     pub max_waiting: usize,
     /// When the leader was last told of members.
     pub members_reported_at: Moment,
-    /// When the leader was last told of a suspicion or a fence.
-    pub leader_told_at: Moment,
+    /// When the leader was last notified of a suspicion or a fence.
+    pub leader_notified_at: Moment,
 }
 
 impl GroupView {
@@ -65,13 +65,13 @@
             writes: FairQueue::default(),
             reads: FairQueue::default(),
             unconfirmed: BTreeSet::new(),
-            primary_heard_at: now,
+            primary_reported_at: now,
             primary_failures: 0,
-            majority_held: LogPosition::default(),
+            majority_position: LogPosition::default(),
             majority_moved_at: now,
             max_waiting: 0,
             members_reported_at: Moment::ZERO,
-            leader_told_at: Moment::ZERO,
+            leader_notified_at: Moment::ZERO,
         }
     }
 
@@ -88,7 +88,7 @@
     /// True if `position` is held by a majority of the counting databases, and
     /// by one of those that will remain once the draining ones have left.
     pub fn is_held_by_majority(&self, position: LogPosition) -> bool {
-        let counting: Vec<&MemberRecord> = self.record.counting().collect();
+        let counting: Vec<&MemberRecord> = self.record.counting_members().collect();
         let staying: Vec<&MemberRecord> = counting
             .iter()
             .copied()
@@ -117,12 +117,12 @@
     }
 
     /// True if any database has a free connection.
-    pub fn has_room(&self, now: Moment) -> bool {
+    pub fn has_free_connection(&self, now: Moment) -> bool {
         self.databases.values().any(|view| view.is_available(now, true))
     }
 
-    /// Mean time of an answer by the fastest database.
-    pub fn fastest_service(&self) -> Duration {
+    /// Mean service time of the fastest database.
+    pub fn min_service_time(&self) -> Duration {
         let times = self.databases.values().map(DatabaseView::service_time);
         times.min().unwrap_or(Duration::ZERO)
     }
@@ -132,7 +132,7 @@
     pub fn expected_wait(&self, is_write: bool) -> Duration {
         let serving = self.databases.values().filter(|view| match is_write {
             true => view.record.database == self.record.primary,
-            false => view.record.takes_work(),
+            false => view.record.accepts_work(),
         });
         let pace: f64 = serving
             .map(|view| {
@@ -140,7 +140,7 @@
                     / view.service_time().as_secs_f64().max(1e-6)
             })
             .sum();
-        let ahead = if is_write { self.writes.len() } else { self.waiting() };
+        let ahead = if is_write { self.writes.len() } else { self.waiting_count() };
         match pace > 0.0 {
             true => Duration::from_secs_f64((ahead as f64 / pace).min(3_600.0)),
             false => Duration::ZERO,
@@ -148,7 +148,7 @@
     }
 
     /// Requests that wait for a database.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.writes.len() + self.reads.len()
     }
 }
--- a/crates/decisions/src/pg_host/host_effect.rs
+++ b/crates/decisions/src/pg_host/host_effect.rs
@@ -9,10 +9,10 @@
     positions::LogPosition,
 };
 
-/// A home and where it takes forwarded requests.
+/// A gateway and where it accepts forwarded requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HomeAddress {
-    /// The home.
+pub struct GatewayAddress {
+    /// The gateway.
     pub host: HostId,
     /// Where it accepts callers.
     pub address: SocketAddr,
@@ -20,11 +20,11 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Conclusion {
+pub struct RequestResult {
     /// How it ended.
     pub result: ResultCode,
-    /// The session's mark from now on, if it changed.
-    pub mark: Option<LogPosition>,
+    /// The session's position from now on, if it changed.
+    pub session_position: Option<LogPosition>,
     /// When a refused request has a chance again.
     pub retry_after: Option<Duration>,
 }
@@ -70,11 +70,11 @@
         /// The database is the group's primary.
         is_primary: bool,
     },
-    /// This host is no home of the request's group: one of these is to run it,
+    /// This host is no gateway of the request's group: one of these is to run it,
     /// the nearest first. The request is over here.
-    Forward(RequestId, Vec<HomeAddress>),
+    Forward(RequestId, Vec<GatewayAddress>),
     /// The request is over.
-    Conclude(RequestId, Conclusion),
+    Complete(RequestId, RequestResult),
     /// Answer to an operator's question.
     Answer {
         /// Number of the question.
@@ -91,6 +91,6 @@
         /// Why.
         result: ResultCode,
     },
-    /// A fact worth a line in the log.
-    Note(String),
+    /// Write an event to the log.
+    Log(String),
 }
--- a/crates/decisions/src/pg_host/host_event.rs
+++ b/crates/decisions/src/pg_host/host_event.rs
@@ -54,13 +54,13 @@
         status: DatabaseStatus,
     },
     /// A request needs a database.
-    Arrived(RequestArrival),
+    RequestArrived(RequestArrival),
     /// A request no longer uses its connection.
-    Executed(RequestId, ExecutionReport),
+    RequestExecuted(RequestId, ExecutionReport),
     /// The caller of a request is gone.
-    Abandoned(RequestId),
+    RequestAbandoned(RequestId),
     /// An operator asks.
-    Asked {
+    OperatorAsked {
         /// Number of the question on this host.
         ticket: u64,
         /// The question.
--- a/crates/decisions/src/pg_host/host_settings.rs
+++ b/crates/decisions/src/pg_host/host_settings.rs
@@ -18,7 +18,7 @@
     /// Time without progress of replication before the primary is suspected.
     pub stall_after: Duration,
     /// Hosts that hold connections to one group.
-    pub homes_per_group: usize,
+    pub gateways_per_group: usize,
     /// Shortest silence of control's leader before an election.
     pub election_timeout: Duration,
     /// Time between heartbeats of control's leader.
--- a/crates/decisions/src/pg_host/host_state.rs
+++ b/crates/decisions/src/pg_host/host_state.rs
@@ -2,7 +2,7 @@
 
 use super::{
     GroupView, HostEffect, HostEvent, HostSettings, PeerMessage, control_flow::Subscriber,
-    leader_duty::LeaderDuty, operator_flow::PendingQuestion,
+    leader_state::LeaderState, operator_flow::PendingQuestion,
 };
 use crate::{
     agreement::{
@@ -14,7 +14,7 @@
     identity::{DatabaseName, GroupName, HostId, RequestId},
     leases::HeldLease,
     requests::RequestRecord,
-    sessions::MarkStore,
+    sessions::PositionStore,
 };
 
 /// All that one host knows and decides.
@@ -23,12 +23,12 @@
     pub(super) settings: HostSettings,
     pub(super) control: ControlState,
     pub(super) agreement: Option<AgreementState>,
-    pub(super) duty: Option<LeaderDuty>,
+    pub(super) leader_state: Option<LeaderState>,
     pub(super) groups: BTreeMap<GroupName, GroupView>,
     pub(super) database_groups: BTreeMap<DatabaseName, GroupName>,
     pub(super) requests: BTreeMap<RequestId, RequestRecord>,
     pub(super) deadlines: BTreeSet<RequestDeadline>,
-    pub(super) marks: MarkStore,
+    pub(super) marks: PositionStore,
     /// Keepers that did not answer, and until when they are not waited for.
     pub(super) silent_keepers: BTreeMap<HostId, Moment>,
     pub(super) lease: HeldLease,
@@ -85,12 +85,12 @@
             settings,
             control,
             agreement,
-            duty: None,
+            leader_state: None,
             groups: BTreeMap::new(),
             database_groups: BTreeMap::new(),
             requests: BTreeMap::new(),
             deadlines: BTreeSet::new(),
-            marks: MarkStore::default(),
+            marks: PositionStore::default(),
             silent_keepers: BTreeMap::new(),
             lease: HeldLease::default(),
             lease_due: now,
@@ -125,10 +125,10 @@
             HostEvent::OrderAnswered { database, status } => {
                 self.order_answered(now, database, status);
             }
-            HostEvent::Arrived(arrival) => self.arrived(now, arrival),
-            HostEvent::Executed(request, report) => self.executed(now, request, report),
-            HostEvent::Abandoned(request) => self.abandoned(now, request),
-            HostEvent::Asked { ticket, question } => self.asked(now, ticket, question),
+            HostEvent::RequestArrived(arrival) => self.arrived(now, arrival),
+            HostEvent::RequestExecuted(request, report) => self.executed(now, request, report),
+            HostEvent::RequestAbandoned(request) => self.abandoned(now, request),
+            HostEvent::OperatorAsked { ticket, question } => self.asked(now, ticket, question),
         }
         std::mem::take(&mut self.effects)
     }
@@ -143,7 +143,7 @@
         self.agreement.as_ref()
     }
 
-    /// The groups that this host is a home of.
+    /// The groups that this host is a gateway of.
     pub fn groups(&self) -> &BTreeMap<GroupName, GroupView> {
         &self.groups
     }
@@ -196,15 +196,15 @@
                 self.suspected(now, from, &group, term);
             }
             PeerMessage::TermFenced { group, term } => self.fenced(now, from, &group, term),
-            PeerMessage::MemberReport { group, astray, caught_up, removable } => {
+            PeerMessage::MemberReport { group, not_following: astray, caught_up, removable } => {
                 self.members_reported(now, &group, astray, caught_up, removable);
             }
-            PeerMessage::MarkQuery(query) => self.mark_asked(from, query),
-            PeerMessage::MarkAnswer(answer) => self.mark_answered(now, from, answer),
-            PeerMessage::MarkStore { request, stored, hosts_version } => {
+            PeerMessage::PositionQuery(query) => self.mark_asked(from, query),
+            PeerMessage::PositionAnswer(answer) => self.mark_answered(now, from, answer),
+            PeerMessage::StorePosition { request, stored, hosts_version } => {
                 self.mark_received(from, request, stored, hosts_version);
             }
-            PeerMessage::MarkStored { request } => self.mark_stored(now, request),
+            PeerMessage::PositionStored { request } => self.mark_stored(now, request),
             PeerMessage::OperatorAsk { ticket, question } => {
                 self.asked_by_peer(now, from, ticket, question);
             }
--- a/crates/decisions/src/pg_host/leader_duty.rs
+++ b/crates/decisions/src/pg_host/leader_state.rs
@@ -7,7 +7,7 @@
         ControlCommand, GroupPhase, GroupRecord, HostRecord, MemberRecord, MemberStanding,
     },
     directory::{Announcement, DatabaseRole, DatabaseStatus},
-    failover::{ChangeOfPrimary, ChangeStep, DatabaseOrder, SuspicionTable},
+    failover::{ChangeStep, DatabaseOrder, PrimaryChange, SuspicionTable},
     identity::{DatabaseName, GroupName, HostId},
     leases::LeaseTable,
     outcomes::ResultCode,
@@ -43,13 +43,13 @@
     at: Moment,
 }
 
-/// What control's leader keeps besides the configuration. A new leader starts
-/// with an empty one.
+/// State of control's leader besides the configuration. A new leader starts with
+/// an empty one.
 #[derive(Debug)]
-pub(super) struct LeaderDuty {
+pub(super) struct LeaderState {
     pub(super) leases: LeaseTable,
     suspicions: SuspicionTable,
-    changes: BTreeMap<GroupName, ChangeOfPrimary>,
+    changes: BTreeMap<GroupName, PrimaryChange>,
     followers: BTreeMap<DatabaseName, FollowDuty>,
     announcements: BTreeMap<DatabaseName, HeardAnnouncement>,
     proposals: Vec<RecentProposal>,
@@ -65,9 +65,9 @@
 }
 
 impl HostState {
-    pub(super) fn begin_duty(&mut self, now: Moment, term: u64) {
+    pub(super) fn start_leading(&mut self, now: Moment, term: u64) {
         self.leader = Some(self.settings.id());
-        self.duty = Some(LeaderDuty {
+        self.leader_state = Some(LeaderState {
             leases: LeaseTable::new(now, self.settings.lease),
             suspicions: SuspicionTable::default(),
             changes: BTreeMap::new(),
@@ -77,26 +77,26 @@
             survey_due: now,
             restless: true,
         });
-        self.effects.push(HostEffect::Note(format!("This host leads control in term {term}.")));
+        self.effects.push(HostEffect::Log(format!("This host leads control in term {term}.")));
     }
 
-    pub(super) fn end_duty(&mut self) {
-        self.duty = None;
+    pub(super) fn stop_leading(&mut self) {
+        self.leader_state = None;
         self.leader = None;
-        self.effects.push(HostEffect::Note("This host no longer leads control.".to_owned()));
+        self.effects.push(HostEffect::Log("This host no longer leads control.".to_owned()));
     }
 
     /// Proposes a command unless the same was proposed a moment ago.
     pub(super) fn propose_once(&mut self, now: Moment, command: ControlCommand) {
-        let Some(duty) = &mut self.duty else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        duty.proposals.retain(|proposal| proposal.until > now);
-        if duty.proposals.iter().any(|proposal| proposal.command == command) {
+        leader_state.proposals.retain(|proposal| proposal.until > now);
+        if leader_state.proposals.iter().any(|proposal| proposal.command == command) {
             return;
         }
         let until = now + PROPOSAL_QUIET;
-        duty.proposals.push(RecentProposal { command: command.clone(), until });
+        leader_state.proposals.push(RecentProposal { command: command.clone(), until });
         self.propose(now, command);
     }
 
@@ -115,7 +115,9 @@
     }
 
     fn may_be_needed(&mut self, now: Moment) -> bool {
-        self.duty.as_mut().is_some_and(|duty| duty.suspicions.prune(now) || duty.restless)
+        self.leader_state
+            .as_mut()
+            .is_some_and(|leader_state| leader_state.suspicions.prune(now) || leader_state.restless)
     }
 
     /// Notes whether any group still changes its primary, or should.
@@ -123,13 +125,13 @@
         let mut groups = self.control.groups.values();
         let restless =
             groups.any(|record| record.phase != GroupPhase::Steady || record.wants_other_primary());
-        if let Some(duty) = &mut self.duty {
-            duty.restless = restless;
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.restless = restless;
         }
     }
 
     fn end_suspected_terms(&mut self, now: Moment) {
-        let Some(duty) = &self.duty else {
+        let Some(leader_state) = &self.leader_state else {
             return;
         };
         let ended: Vec<ControlCommand> = self
@@ -138,7 +140,8 @@
             .values()
             .filter(|record| record.phase == GroupPhase::Steady)
             .filter_map(|record| {
-                let suspected = duty.suspicions.is_confirmed(now, record, &duty.leases);
+                let suspected =
+                    leader_state.suspicions.is_confirmed(now, record, &leader_state.leases);
                 let planned = record.wants_other_primary();
                 (suspected || planned).then(|| ControlCommand::TermEnded {
                     group: record.name.clone(),
@@ -166,10 +169,10 @@
     }
 
     fn drive_change(&mut self, now: Moment, record: &GroupRecord) {
-        let Some(duty) = &mut self.duty else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let change = duty.change(now, record);
+        let change = leader_state.change(now, record);
         for step in change.next_steps(now, record) {
             match step {
                 ChangeStep::Order(database, order) => self.order(record, database, order),
@@ -196,14 +199,14 @@
         let Some(group) = self.control.group_of(&database).cloned() else {
             return;
         };
-        let Some(duty) = &mut self.duty else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         let follows = status.term == group.term && status.role == DatabaseRole::Replica;
         if follows || group.primary == database {
-            duty.followers.remove(&database);
+            leader_state.followers.remove(&database);
         }
-        if let Some(change) = duty.changes.get_mut(&group.name) {
+        if let Some(change) = leader_state.changes.get_mut(&group.name) {
             change.record_status(database, status);
             if group.phase != GroupPhase::Steady {
                 self.drive_change(now, &group);
@@ -212,8 +215,8 @@
     }
 
     pub(super) fn suspected(&mut self, now: Moment, from: HostId, group: &GroupName, term: u64) {
-        if let Some(duty) = &mut self.duty {
-            duty.suspicions.record(now, group, term, from);
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.suspicions.record(now, group, term, from);
             self.lead(now);
         }
     }
@@ -222,10 +225,10 @@
         let Some(record) = self.control.groups.get(group).cloned() else {
             return;
         };
-        let Some(duty) = &mut self.duty else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        duty.change(now, &record).record_fenced(from, term);
+        leader_state.change(now, &record).record_fenced(from, term);
         if record.phase != GroupPhase::Steady && self.is_current_leader(now) {
             self.drive_change(now, &record);
         }
@@ -233,28 +236,28 @@
 
     /// Reacts to a committed command as leader.
     pub(super) fn leader_applied(&mut self, now: Moment, command: &ControlCommand) {
-        let Some(duty) = &mut self.duty else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        duty.restless = true;
+        leader_state.restless = true;
         match command {
             ControlCommand::TermEnded { group, .. } => {
                 if let Some(record) = self.control.groups.get(group) {
-                    duty.change(now, record);
+                    leader_state.change(now, record);
                 }
             }
             ControlCommand::PrimaryChosen { group, .. } => {
-                if let Some(change) = duty.changes.get_mut(group) {
+                if let Some(change) = leader_state.changes.get_mut(group) {
                     change.enter_phase(now);
                 }
             }
             ControlCommand::TermStarted { group, .. } => {
-                duty.changes.remove(group);
+                leader_state.changes.remove(group);
                 if let Some(record) = self.control.groups.get(group) {
                     for database in record.members.keys().filter(|d| **d != record.primary) {
                         let follow =
                             FollowDuty { group: group.clone(), since: now, ordered_at: None };
-                        duty.followers.insert(database.clone(), follow);
+                        leader_state.followers.insert(database.clone(), follow);
                     }
                 }
             }
@@ -264,12 +267,12 @@
     }
 
     fn order_followers(&mut self, now: Moment) {
-        let Some(duty) = &mut self.duty else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        duty.followers.retain(|_, follow| now.since(follow.since) < FOLLOW_TIMEOUT);
+        leader_state.followers.retain(|_, follow| now.since(follow.since) < FOLLOW_TIMEOUT);
         let mut orders = Vec::new();
-        for (database, follow) in &mut duty.followers {
+        for (database, follow) in &mut leader_state.followers {
             let due = follow.ordered_at.is_none_or(|at| now.since(at) >= FOLLOW_RETRY);
             let record = self.control.groups.get(&follow.group);
             let steady = record.filter(|record| record.phase == GroupPhase::Steady);
@@ -294,11 +297,11 @@
         caught_up: Vec<DatabaseName>,
         removable: Vec<DatabaseName>,
     ) {
-        let Some(duty) = &mut self.duty else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         for database in astray {
-            duty.followers.entry(database).or_insert_with(|| FollowDuty {
+            leader_state.followers.entry(database).or_insert_with(|| FollowDuty {
                 group: group.clone(),
                 since: now,
                 ordered_at: None,
@@ -307,7 +310,7 @@
         let leaving: Vec<DatabaseName> = removable
             .into_iter()
             .filter(|database| {
-                let heard = duty.announcements.get(database);
+                let heard = leader_state.announcements.get(database);
                 heard.is_some_and(|heard| heard.announcement.leaving)
             })
             .collect();
@@ -349,13 +352,13 @@
     }
 
     fn take_announcement(&mut self, now: Moment, announcement: Announcement) {
-        let Some(duty) = &mut self.duty else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         let group = announcement.group.clone();
         let heard = HeardAnnouncement { announcement: announcement.clone(), at: now };
-        duty.announcements.insert(announcement.database.clone(), heard);
-        duty.announcements.retain(|_, heard| now.since(heard.at) < ANNOUNCEMENT_LIFETIME);
+        leader_state.announcements.insert(announcement.database.clone(), heard);
+        leader_state.announcements.retain(|_, heard| now.since(heard.at) < ANNOUNCEMENT_LIFETIME);
         if !self.control.is_declared(&group) {
             return;
         }
@@ -382,10 +385,10 @@
     fn form_group(&mut self, now: Moment, name: &GroupName) {
         let needed = self.control.declaration_of(name).map_or(usize::MAX, |d| d.databases as usize);
         let homes = self.wanted_homes(now, name, &[]);
-        let Some(duty) = &self.duty else {
+        let Some(leader_state) = &self.leader_state else {
             return;
         };
-        let announced: Vec<&Announcement> = duty
+        let announced: Vec<&Announcement> = leader_state
             .announcements
             .values()
             .map(|heard| &heard.announcement)
@@ -409,8 +412,8 @@
             primary: primary.database.clone(),
             phase: GroupPhase::Steady,
             members,
-            homes,
-            home_shares: self.settings.homes_per_group as u32 + 1,
+            gateways: homes,
+            gateway_shares: self.settings.gateways_per_group as u32 + 1,
         };
         self.propose_once(now, ControlCommand::GroupFormed(record));
     }
@@ -418,17 +421,19 @@
     // Homes and hosts.
 
     fn survey(&mut self, now: Moment) {
-        let Some(duty) = self.duty.as_mut().filter(|duty| now >= duty.survey_due) else {
+        let Some(leader_state) =
+            self.leader_state.as_mut().filter(|leader_state| now >= leader_state.survey_due)
+        else {
             return;
         };
-        duty.survey_due = now + SURVEY_INTERVAL;
-        let leases = &duty.leases;
+        leader_state.survey_due = now + SURVEY_INTERVAL;
+        let leases = &leader_state.leases;
         let gone: Vec<HostId> = self
             .control
             .hosts
             .keys()
             .copied()
-            .filter(|host| leases.expired_for(now, *host) > HOST_RETENTION)
+            .filter(|host| leases.time_since_expiry(now, *host) > HOST_RETENTION)
             .collect();
         for host in gone {
             self.propose_once(now, ControlCommand::HostLeft(host));
@@ -438,9 +443,9 @@
             .groups
             .values()
             .filter_map(|record| {
-                let homes = self.wanted_homes(now, &record.name, &record.homes);
-                let differs = homes != record.homes && !homes.is_empty();
-                differs.then(|| ControlCommand::HomesAssigned(record.name.clone(), homes))
+                let homes = self.wanted_homes(now, &record.name, &record.gateways);
+                let differs = homes != record.gateways && !homes.is_empty();
+                differs.then(|| ControlCommand::GatewaysAssigned(record.name.clone(), homes))
             })
             .collect();
         for command in changes {
@@ -451,19 +456,20 @@
     /// The homes that a group should have: those it has, less the ones that
     /// are gone or draining, filled up with the best-ranked live hosts.
     fn wanted_homes(&self, now: Moment, name: &GroupName, current: &[HostId]) -> Vec<HostId> {
-        let Some(duty) = &self.duty else {
+        let Some(leader_state) = &self.leader_state else {
             return Vec::new();
         };
-        let usable = |host: &HostRecord| !host.draining && duty.leases.is_live(now, host.id);
+        let usable =
+            |host: &HostRecord| !host.draining && leader_state.leases.has_live_lease(now, host.id);
         let keep = |host: &HostId| {
             let record = self.control.hosts.get(host);
             record.is_some_and(|record| !record.draining)
-                && duty.leases.expired_for(now, *host) < HOME_REPLACEMENT
+                && leader_state.leases.time_since_expiry(now, *host) < HOME_REPLACEMENT
         };
         let mut homes: Vec<HostId> = current.iter().copied().filter(keep).collect();
         let live = self.control.hosts.values().filter(|host| usable(host)).map(|host| host.id);
         for host in rank_hosts(name.as_str().as_bytes(), live) {
-            if homes.len() >= self.settings.homes_per_group {
+            if homes.len() >= self.settings.gateways_per_group {
                 break;
             }
             if !homes.contains(&host) {
@@ -474,13 +480,13 @@
     }
 }
 
-impl LeaderDuty {
+impl LeaderState {
     /// The notes on a group's change of primary, new ones for a new term.
-    fn change(&mut self, now: Moment, record: &GroupRecord) -> &mut ChangeOfPrimary {
-        let fresh = || ChangeOfPrimary::new(now, record, &self.leases);
+    fn change(&mut self, now: Moment, record: &GroupRecord) -> &mut PrimaryChange {
+        let fresh = || PrimaryChange::new(now, record, &self.leases);
         let change = self.changes.entry(record.name.clone()).or_insert_with(fresh);
         if change.next_term != record.highest_term() {
-            *change = ChangeOfPrimary::new(now, record, &self.leases);
+            *change = PrimaryChange::new(now, record, &self.leases);
         }
         change
     }
--- a/crates/decisions/src/pg_host/lease_flow.rs
+++ b/crates/decisions/src/pg_host/lease_flow.rs
@@ -47,10 +47,10 @@
         let me = self.settings.id();
         let record = self.settings.record.clone();
         let required = self.agreement.as_ref().map_or(0, |agreement| agreement.commit());
-        let Some(duty) = &mut self.duty else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let duration = duty.leases.grant(now, me);
+        let duration = leader_state.leases.grant(now, me);
         self.lease.extend(now, duration, required);
         self.lease_asked = 0;
         let leaving = self.leaving;
@@ -60,11 +60,11 @@
     pub(super) fn lease_requested(&mut self, now: Moment, from: HostId, request: LeaseRequest) {
         let required = self.agreement.as_ref().map_or(0, |agreement| agreement.commit());
         let current = self.is_current_leader(now);
-        let Some(duty) = self.duty.as_mut().filter(|_| current) else {
+        let Some(leader_state) = self.leader_state.as_mut().filter(|_| current) else {
             let leader = self.leader;
             return self.send(from, PeerMessage::LeaderIs(leader));
         };
-        let duration = duty.leases.grant(now, from);
+        let duration = leader_state.leases.grant(now, from);
         let grant = LeaseGrant { sent_at: request.sent_at, duration, required_index: required };
         self.send(from, PeerMessage::LeaseGrant(grant));
         self.note_host(now, request.record, request.leaving);
--- a/crates/decisions/src/pg_host/operator_flow.rs
+++ b/crates/decisions/src/pg_host/operator_flow.rs
@@ -5,7 +5,7 @@
 use super::{HostEffect, HostState, PeerMessage};
 use crate::{
     clock::Moment,
-    control_state::{ControlAnswer, ControlCommand, Intent, Plan},
+    control_state::{ConfirmationResult, ControlCommand, Intent, Plan},
     identity::HostId,
 };
 
@@ -36,7 +36,7 @@
     /// A plan, or what is wrong with the intent.
     Plan(Result<Plan, String>),
     /// How a confirmation ended.
-    Confirm(ControlAnswer),
+    Confirm(ConfirmationResult),
     /// No host that can prove to lead was reached; the leader, if known.
     NotCurrent(Option<HostId>),
 }
--- a/crates/decisions/src/pg_host/peer_message.rs
+++ b/crates/decisions/src/pg_host/peer_message.rs
@@ -10,7 +10,7 @@
     directory::Announcement,
     identity::{DatabaseName, GroupName, HostId, RequestId, SessionId},
     positions::LogPosition,
-    sessions::StoredMark,
+    sessions::StoredPosition,
 };
 
 /// Asks control's leader for a lease.
@@ -37,26 +37,27 @@
     pub required_index: u64,
 }
 
-/// Asks a keeper for a session's mark.
+/// Asks a position host for a session's position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MarkQuery {
+pub struct PositionQuery {
     /// The request that waits for it.
     pub request: RequestId,
     /// The session.
     pub session: SessionId,
     /// The group.
     pub group: GroupName,
-    /// Version of the set of hosts by which the keeper was chosen.
+    /// Version of the set of hosts by which the position host was chosen.
     pub hosts_version: u64,
 }
 
-/// A keeper's answer.
+/// A position host's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MarkAnswer {
+pub struct PositionAnswer {
     /// The request that waits for it.
     pub request: RequestId,
-    /// The mark; `None` means not known.
-    pub mark: Option<LogPosition>,
+    /// The position; `None` means not known.
+    #[serde(rename = "mark")]
+    pub position: Option<LogPosition>,
 }
 
 /// Messages between hosts.
@@ -86,14 +87,14 @@
     State(Box<ControlState>),
     /// An announcement on its way to control's leader.
     Announced(Announcement),
-    /// To control's leader: this home cannot use the primary of `term`.
+    /// To control's leader: this gateway cannot use the primary of `term`.
     SuspectPrimary {
         /// The group.
         group: GroupName,
         /// The term.
         term: u64,
     },
-    /// To control's leader: this home acknowledges nothing below `term`.
+    /// To control's leader: this gateway acknowledges nothing below `term`.
     TermFenced {
         /// The group.
         group: GroupName,
@@ -106,24 +107,28 @@
         /// The group.
         group: GroupName,
         /// The members that do not follow.
-        astray: Vec<DatabaseName>,
+        #[serde(rename = "astray")]
+        not_following: Vec<DatabaseName>,
         /// Joining members that hold what the primary had when asked.
         caught_up: Vec<DatabaseName>,
         /// Draining members without which a majority holds all that the
         /// primary had when asked.
         removable: Vec<DatabaseName>,
     },
-    /// To a keeper.
-    MarkQuery(MarkQuery),
-    /// From a keeper.
-    MarkAnswer(MarkAnswer),
-    /// To a keeper: keep this mark.
-    MarkStore {
+    /// To a position host.
+    #[serde(rename = "MarkQuery")]
+    PositionQuery(PositionQuery),
+    /// From a position host.
+    #[serde(rename = "MarkAnswer")]
+    PositionAnswer(PositionAnswer),
+    /// To a position host: store this position.
+    #[serde(rename = "MarkStore")]
+    StorePosition {
         /// The request whose answer waits for it.
         request: RequestId,
-        /// The mark.
-        stored: StoredMark,
-        /// Version of the set of hosts by which the keeper was chosen.
+        /// The position.
+        stored: StoredPosition,
+        /// Version of the set of hosts by which the position host was chosen.
         hosts_version: u64,
     },
     /// To control's leader: an operator of the sender asks.
@@ -140,8 +145,9 @@
         /// The answer.
         answer: OperatorAnswer,
     },
-    /// From a keeper: the mark is kept.
-    MarkStored {
+    /// From a position host: the position is stored.
+    #[serde(rename = "MarkStored")]
+    PositionStored {
         /// The request whose answer waits for it.
         request: RequestId,
     },
@@ -158,10 +164,10 @@
             Self::SuspectPrimary { .. } | Self::TermFenced { .. } => "failover",
             Self::MemberReport { .. } => "members",
             Self::OperatorAsk { .. } | Self::OperatorReply { .. } => "operators",
-            Self::MarkQuery(_)
-            | Self::MarkAnswer(_)
-            | Self::MarkStore { .. }
-            | Self::MarkStored { .. } => "marks",
+            Self::PositionQuery(_)
+            | Self::PositionAnswer(_)
+            | Self::StorePosition { .. }
+            | Self::PositionStored { .. } => "marks",
         }
     }
 }
--- a/crates/decisions/src/pg_host/mark_flow.rs
+++ b/crates/decisions/src/pg_host/position_flow.rs
@@ -1,13 +1,13 @@
 use std::time::Duration;
 
-use super::{HostState, MarkAnswer, MarkQuery, PeerMessage};
+use super::{HostState, PeerMessage, PositionAnswer, PositionQuery};
 use crate::{
     clock::Moment,
     identity::{HostId, RequestId, SessionId},
     outcomes::ResultCode,
     positions::LogPosition,
-    requests::{MarkSource, RequestPhase},
-    sessions::{StoredMark, session_keepers},
+    requests::{PositionSource, RequestPhase},
+    sessions::{StoredPosition, session_position_hosts},
 };
 
 /// Time that keepers get to answer before the primary is asked instead.
@@ -19,7 +19,7 @@
 
 impl HostState {
     fn keepers(&self, session: &SessionId) -> Vec<HostId> {
-        session_keepers(session, self.control.hosts.keys().copied())
+        session_position_hosts(session, self.control.hosts.keys().copied())
     }
 
     /// Asks all keepers of the request's session for its mark.
@@ -31,13 +31,13 @@
             return self.enqueue(now, request);
         };
         let group = record.arrival.group.clone();
-        let floor = match record.arrival.mark {
-            MarkSource::Known(mark) | MarkSource::Keepers(mark) => mark,
+        let floor = match record.arrival.position_source {
+            PositionSource::Known(mark) | PositionSource::PositionHosts(mark) => mark,
         };
         let until = now + LOOKUP_TIMEOUT;
         let keepers = self.keepers(&session);
         if let Some(record) = self.requests.get_mut(&request) {
-            record.phase = RequestPhase::LookingUp {
+            record.phase = RequestPhase::LookingUpPosition {
                 waiting: keepers.iter().copied().collect(),
                 found: Some(floor),
                 until,
@@ -48,7 +48,7 @@
         let silent = keepers.iter().any(|keeper| self.silent_keepers.contains_key(keeper));
         let hosts_version = self.control.hosts_version;
         for keeper in keepers {
-            let query = MarkQuery {
+            let query = PositionQuery {
                 request,
                 session: session.clone(),
                 group: group.clone(),
@@ -56,9 +56,9 @@
             };
             if keeper == self.settings.id() {
                 let mark = self.find_mark(&query);
-                self.mark_answered(now, keeper, MarkAnswer { request, mark });
+                self.mark_answered(now, keeper, PositionAnswer { request, position: mark });
             } else {
-                self.send(keeper, PeerMessage::MarkQuery(query));
+                self.send(keeper, PeerMessage::PositionQuery(query));
             }
         }
         if silent {
@@ -70,7 +70,7 @@
     /// again, or some time has passed, nobody waits for them.
     pub(super) fn note_late_lookup(&mut self, now: Moment, request: RequestId) {
         let phase = self.requests.get(&request).map(|record| record.phase.clone());
-        if let Some(RequestPhase::LookingUp { waiting, until, .. }) = phase
+        if let Some(RequestPhase::LookingUpPosition { waiting, until, .. }) = phase
             && until <= now
         {
             let until = now + SILENCE_MEMORY;
@@ -81,49 +81,49 @@
     /// Ends a lookup that cannot succeed: the primary is asked.
     fn skip_lookup(&mut self, now: Moment, request: RequestId) {
         if let Some(record) = self.requests.get_mut(&request)
-            && matches!(record.phase, RequestPhase::LookingUp { .. })
+            && matches!(record.phase, RequestPhase::LookingUpPosition { .. })
         {
-            record.mark = None;
+            record.session_position = None;
             self.enqueue(now, request);
         }
     }
 
-    fn find_mark(&self, query: &MarkQuery) -> Option<LogPosition> {
+    fn find_mark(&self, query: &PositionQuery) -> Option<LogPosition> {
         if query.hosts_version != self.control.hosts_version {
             return None;
         }
         self.marks.find(&query.session, &query.group)
     }
 
-    fn keep_mark(&mut self, stored: StoredMark) {
+    fn keep_mark(&mut self, stored: StoredPosition) {
         let keepers = self.keepers(&stored.session);
         self.marks.raise(stored, &keepers);
     }
 
-    pub(super) fn mark_asked(&mut self, from: HostId, query: MarkQuery) {
+    pub(super) fn mark_asked(&mut self, from: HostId, query: PositionQuery) {
         let mark = self.find_mark(&query);
-        let answer = MarkAnswer { request: query.request, mark };
-        self.send(from, PeerMessage::MarkAnswer(answer));
+        let answer = PositionAnswer { request: query.request, position: mark };
+        self.send(from, PeerMessage::PositionAnswer(answer));
     }
 
-    pub(super) fn mark_answered(&mut self, now: Moment, from: HostId, answer: MarkAnswer) {
+    pub(super) fn mark_answered(&mut self, now: Moment, from: HostId, answer: PositionAnswer) {
         self.silent_keepers.remove(&from);
         let request = answer.request;
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        let RequestPhase::LookingUp { waiting, found, .. } = &mut record.phase else {
+        let RequestPhase::LookingUpPosition { waiting, found, .. } = &mut record.phase else {
             return;
         };
         if !waiting.remove(&from) {
             return;
         }
-        *found = match (*found, answer.mark) {
+        *found = match (*found, answer.position) {
             (Some(highest), Some(mark)) => Some(highest.max(mark)),
             _ => None,
         };
         if waiting.is_empty() || found.is_none() {
-            record.mark = *found;
+            record.session_position = *found;
             self.enqueue(now, request);
         }
     }
@@ -137,14 +137,14 @@
             return self.conclude(now, request, ResultCode::Done, Some(mark));
         };
         let until = now + STORE_TIMEOUT;
-        record.phase = RequestPhase::StoringMark { mark, until };
+        record.phase = RequestPhase::StoringPosition { position: mark, until };
         let group = record.arrival.group.clone();
         self.set_deadline(request, until);
-        self.send_mark(now, request, StoredMark { session, group, mark });
+        self.send_mark(now, request, StoredPosition { session, group, position: mark });
     }
 
     /// Hands a mark to the session's keepers.
-    pub(super) fn send_mark(&mut self, now: Moment, request: RequestId, stored: StoredMark) {
+    pub(super) fn send_mark(&mut self, now: Moment, request: RequestId, stored: StoredPosition) {
         let hosts_version = self.control.hosts_version;
         for keeper in self.keepers(&stored.session) {
             if keeper == self.settings.id() {
@@ -152,7 +152,7 @@
                 self.mark_stored(now, request);
             } else {
                 let stored = stored.clone();
-                self.send(keeper, PeerMessage::MarkStore { request, stored, hosts_version });
+                self.send(keeper, PeerMessage::StorePosition { request, stored, hosts_version });
             }
         }
     }
@@ -161,19 +161,19 @@
         &mut self,
         from: HostId,
         request: RequestId,
-        stored: StoredMark,
+        stored: StoredPosition,
         hosts_version: u64,
     ) {
         if hosts_version == self.control.hosts_version {
             self.keep_mark(stored);
-            self.send(from, PeerMessage::MarkStored { request });
+            self.send(from, PeerMessage::PositionStored { request });
         }
     }
 
     /// One keeper is enough: a lookup needs the word of all of them.
     pub(super) fn mark_stored(&mut self, now: Moment, request: RequestId) {
         let phase = self.requests.get(&request).map(|record| record.phase.clone());
-        if let Some(RequestPhase::StoringMark { mark, .. }) = phase {
+        if let Some(RequestPhase::StoringPosition { position: mark, .. }) = phase {
             self.conclude(now, request, ResultCode::Done, Some(mark));
         }
     }
--- a/crates/decisions/src/pg_host/report_flow.rs
+++ b/crates/decisions/src/pg_host/report_flow.rs
@@ -36,7 +36,7 @@
             && status.role == DatabaseRole::Primary
             && status.term == group.record.term;
         if is_primary {
-            group.primary_heard_at = now;
+            group.primary_reported_at = now;
             group.primary_failures = 0;
             group.samples.record(sent_at, status.position);
         }
@@ -85,17 +85,17 @@
             group.members_reported_at = now;
             return self.send_leader(now, report);
         }
-        if now.since(group.leader_told_at) < LEADER_WORD_INTERVAL {
+        if now.since(group.leader_notified_at) < LEADER_WORD_INTERVAL {
             return;
         }
         if !group.is_steady() {
-            group.leader_told_at = now;
+            group.leader_notified_at = now;
             let term = group.record.highest_term();
             let word = PeerMessage::TermFenced { group: name.clone(), term };
             return self.send_leader(now, word);
         }
         if has_lease && group.suspects_primary(now, suspect_after, stall_after) {
-            group.leader_told_at = now;
+            group.leader_notified_at = now;
             let term = group.record.term;
             let word = PeerMessage::SuspectPrimary { group: name.clone(), term };
             self.send_leader(now, word);
@@ -112,20 +112,20 @@
         };
         let mut held: Vec<LogPosition> = self
             .record
-            .counting()
+            .counting_members()
             .filter_map(|member| self.databases.get(&member.database)?.observed.as_ref())
             .map(|observed| observed.status.position)
             .collect();
         held.sort_unstable_by(|a, b| b.cmp(a));
         let majority = held.get(self.record.majority() - 1).copied().unwrap_or_default();
-        if majority > self.majority_held || majority >= last {
+        if majority > self.majority_position || majority >= last {
             self.majority_moved_at = now;
         }
-        self.majority_held = self.majority_held.max(majority);
+        self.majority_position = self.majority_position.max(majority);
     }
 
     fn suspects_primary(&self, now: Moment, after: Duration, stall_after: Duration) -> bool {
-        let silence = now.since(self.primary_heard_at);
+        let silence = now.since(self.primary_reported_at);
         let refused = self.primary_failures >= FAILURES_TO_SUSPECT && silence >= REFUSAL_SILENCE;
         let stalled = now.since(self.majority_moved_at) >= stall_after && self.replicas_answer(now);
         refused || silence >= after || stalled
@@ -136,7 +136,7 @@
     fn replicas_answer(&self, now: Moment) -> bool {
         let answering = self
             .record
-            .counting()
+            .counting_members()
             .filter(|member| member.database != self.record.primary)
             .filter_map(|member| self.databases.get(&member.database)?.observed.as_ref())
             .filter(|observed| now.since(observed.received_at) < Duration::from_millis(500))
@@ -178,6 +178,11 @@
         }
         let empty = astray.is_empty() && caught_up.is_empty() && removable.is_empty();
         let group = self.record.name.clone();
-        (!empty).then_some(PeerMessage::MemberReport { group, astray, caught_up, removable })
+        (!empty).then_some(PeerMessage::MemberReport {
+            group,
+            not_following: astray,
+            caught_up,
+            removable,
+        })
     }
 }
--- a/crates/decisions/src/pg_host/request_flow.rs
+++ b/crates/decisions/src/pg_host/request_flow.rs
@@ -1,7 +1,8 @@
 use std::time::Duration;
 
 use super::{
-    Conclusion, ExecutionReport, GroupView, HomeAddress, HostEffect, HostState, UnconfirmedWrite,
+    ExecutionReport, GatewayAddress, GroupView, HostEffect, HostState, RequestResult,
+    UnconfirmedWrite,
 };
 use crate::{
     clock::Moment,
@@ -10,9 +11,9 @@
     identity::{DatabaseName, GroupName, RequestId},
     outcomes::ResultCode,
     positions::LogPosition,
-    requests::{MarkSource, RequestArrival, RequestKind, RequestPhase, RequestRecord},
+    requests::{PositionSource, RequestArrival, RequestKind, RequestPhase, RequestRecord},
     routing::{DatabaseChoice, RouteQuery, choose_database},
-    sessions::StoredMark,
+    sessions::StoredPosition,
 };
 
 /// Shortest time that a committed write waits for a majority.
@@ -32,18 +33,18 @@
 impl HostState {
     pub(super) fn arrived(&mut self, now: Moment, arrival: RequestArrival) {
         let request = arrival.request;
-        let mark = match arrival.mark {
-            MarkSource::Known(mark) => Some(mark),
-            MarkSource::Keepers(_) => None,
+        let mark = match arrival.position_source {
+            PositionSource::Known(mark) => Some(mark),
+            PositionSource::PositionHosts(_) => None,
         };
-        let asks_keepers =
-            matches!(arrival.mark, MarkSource::Keepers(_)) && arrival.kind != RequestKind::Write;
+        let asks_keepers = matches!(arrival.position_source, PositionSource::PositionHosts(_))
+            && arrival.kind != RequestKind::Write;
         if let Some(homes) = self.forward_homes(&arrival) {
             return self.effects.push(HostEffect::Forward(request, homes));
         }
         let refusal = self.check_arrival(now, &arrival);
         let deadline = arrival.deadline;
-        let record = RequestRecord { arrival, mark, phase: RequestPhase::Queued };
+        let record = RequestRecord { arrival, session_position: mark, phase: RequestPhase::Queued };
         self.requests.insert(request, record);
         if let Some(result) = refusal {
             return self.conclude(now, request, result, None);
@@ -58,26 +59,28 @@
 
     /// The homes of a group that this host is no home of, those of its own data
     /// centre first, each request beginning with another one.
-    pub(super) fn forward_homes(&self, arrival: &RequestArrival) -> Option<Vec<HomeAddress>> {
+    pub(super) fn forward_homes(&self, arrival: &RequestArrival) -> Option<Vec<GatewayAddress>> {
         let is_home = self.groups.get(&arrival.group).is_some_and(|group| !group.retiring);
         if arrival.forwarded || is_home {
             return None;
         }
         let record = self.control.groups.get(&arrival.group)?;
-        let known = record.homes.iter().filter_map(|home| self.control.hosts.get(home));
+        let known = record.gateways.iter().filter_map(|home| self.control.hosts.get(home));
         let mut homes: Vec<&HostRecord> = known.collect();
         let turn = arrival.request.0 as usize % homes.len().max(1);
         homes.rotate_left(turn);
         homes.sort_by_key(|home| home.data_centre != self.settings.record.data_centre);
         let address =
-            |home: &HostRecord| HomeAddress { host: home.id, address: home.caller_address };
+            |home: &HostRecord| GatewayAddress { host: home.id, address: home.caller_address };
         (!homes.is_empty()).then(|| homes.into_iter().map(address).collect())
     }
 
     fn check_arrival(&self, now: Moment, arrival: &RequestArrival) -> Option<ResultCode> {
         match self.groups.get(&arrival.group) {
             Some(group) if group.retiring => Some(ResultCode::NoDatabase),
-            Some(group) if group.waiting() >= group.max_waiting => Some(ResultCode::QueueFull),
+            Some(group) if group.waiting_count() >= group.max_waiting => {
+                Some(ResultCode::QueueFull)
+            }
             Some(group) if self.would_be_late(now, group, arrival) => Some(ResultCode::QueueFull),
             Some(_) => None,
             None if self.control.groups.contains_key(&arrival.group) => {
@@ -144,15 +147,16 @@
 
     /// Sends the first waiting request for which a database is free.
     fn serve_next(&mut self, now: Moment, name: &GroupName, is_write: bool) -> bool {
-        let Some(group) = self.groups.get(name).filter(|group| group.has_room(now)) else {
+        let Some(group) = self.groups.get(name).filter(|group| group.has_free_connection(now))
+        else {
             return false;
         };
         // Writes all wait for the same database; reads need not.
         let upcoming = match is_write {
-            true => group.writes.upcoming(1),
-            false => group.reads.upcoming(READ_SCAN),
+            true => group.writes.peek_next(1),
+            false => group.reads.peek_next(READ_SCAN),
         };
-        let earliest = now + group.fastest_service();
+        let earliest = now + group.min_service_time();
         let hopeless = upcoming.iter().find(|request| self.is_hopeless(earliest, **request));
         if let Some(request) = hopeless.copied() {
             let result = self.late_result(now, request);
@@ -169,8 +173,8 @@
         let caller = self.requests.get(&request).map(|record| record.arrival.caller.clone());
         if let (Some(group), Some(caller)) = (self.groups.get_mut(name), caller) {
             match is_write {
-                true => group.writes.serve(&caller, request),
-                false => group.reads.serve(&caller, request),
+                true => group.writes.dequeue(&caller, request),
+                false => group.reads.dequeue(&caller, request),
             }
         }
         self.dispatch(now, name, request, database);
@@ -188,9 +192,9 @@
         let query = RouteQuery {
             now,
             kind: record.arrival.kind,
-            crowded,
+            offload_to_primary: crowded,
             transaction: record.arrival.transaction,
-            mark: record.mark,
+            position: record.session_position,
             primary: group.confirmed_primary(),
             term: group.record.term,
             data_centre: &self.settings.record.data_centre,
@@ -217,7 +221,7 @@
         };
         view.in_use += 1;
         let transaction = self.requests.get(&request).is_some_and(|r| r.arrival.transaction);
-        view.statements += u32::from(!transaction);
+        view.pending_statements += u32::from(!transaction);
         let address = view.record.address;
         let is_primary = database == group.record.primary;
         let term = group.record.term;
@@ -269,7 +273,7 @@
             return;
         };
         view.in_use = view.in_use.saturating_sub(1);
-        view.statements = view.statements.saturating_sub(u32::from(!transaction));
+        view.pending_statements = view.pending_statements.saturating_sub(u32::from(!transaction));
         match report {
             // How long a transaction lasts is the caller's doing.
             ExecutionReport::Read(_)
@@ -308,11 +312,13 @@
         let Some(record) = self.requests.get(&request) else {
             return;
         };
-        let mark = position.max(record.mark);
-        let stored = match (&record.arrival.session, record.mark, mark) {
-            (Some(session), None, Some(mark)) => {
-                Some(StoredMark { session: session.clone(), group: name.clone(), mark })
-            }
+        let mark = position.max(record.session_position);
+        let stored = match (&record.arrival.session, record.session_position, mark) {
+            (Some(session), None, Some(mark)) => Some(StoredPosition {
+                session: session.clone(),
+                group: name.clone(),
+                position: mark,
+            }),
             _ => None,
         };
         if let Some(stored) = stored {
@@ -399,8 +405,8 @@
         };
         let deadline = record.arrival.deadline;
         match &record.phase {
-            RequestPhase::LookingUp { until, .. } if *until <= now => {
-                record.mark = None;
+            RequestPhase::LookingUpPosition { until, .. } if *until <= now => {
+                record.session_position = None;
                 self.enqueue(now, request);
             }
             RequestPhase::Queued if deadline <= now => {
@@ -410,7 +416,7 @@
             RequestPhase::AwaitingMajority { .. } if deadline <= now => {
                 self.conclude(now, request, ResultCode::MajorityLate, None);
             }
-            RequestPhase::StoringMark { until, .. } if *until <= now => {
+            RequestPhase::StoringPosition { until, .. } if *until <= now => {
                 self.conclude(now, request, ResultCode::MarkNotStored, None);
             }
             _ => {}
@@ -455,8 +461,8 @@
             let is_write = record.arrival.kind == RequestKind::Write;
             retry_after = Some(group.expected_wait(is_write));
         }
-        let conclusion = Conclusion { result, mark, retry_after };
-        self.effects.push(HostEffect::Conclude(request, conclusion));
+        let conclusion = RequestResult { result, session_position: mark, retry_after };
+        self.effects.push(HostEffect::Complete(request, conclusion));
     }
 }
 
--- a/crates/decisions/src/primaries/term_change.rs
+++ b/crates/decisions/src/primaries/term_change.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TermStep {
     /// Ask a database for its status.
-    Ask(InstanceKey),
+    AskStatus(InstanceKey),
     /// Commit the successor.
     Choose(InstanceKey),
     /// Tell the platform that this database leads.
@@ -50,11 +50,10 @@
     /// Commit that the successor leads.
     Start,
     /// The successor did not lead in time: look for another one.
-    Reopen,
+    Restart,
 }
 
-/// The leader's notes on one change of primary; a new leader gathers them
-/// again.
+/// The leader's state of one change of primary; a new leader gathers it again.
 #[derive(Debug)]
 pub struct TermChange {
     since_index: u64,
@@ -79,7 +78,7 @@
 }
 
 impl TermChange {
-    /// Notes for a change that this leader begins to drive.
+    /// State for a change that this leader begins to drive.
     pub fn new(now: Moment, term: &ServiceTerm) -> Self {
         Self {
             since_index: term.since_index,
@@ -93,12 +92,12 @@
         }
     }
 
-    /// True if the notes belong to the term's present phase.
-    pub fn fits(&self, term: &ServiceTerm) -> bool {
+    /// True if this state belongs to the term's present phase.
+    pub fn matches_phase(&self, term: &ServiceTerm) -> bool {
         self.since_index == term.since_index
     }
 
-    /// Notes for the next phase, which keep the databases that refused.
+    /// State for the next phase, which keeps the databases that refused.
     pub fn next_phase(&self, now: Moment, term: &ServiceTerm) -> Self {
         Self { refused: self.refused.clone(), ..Self::new(now, term) }
     }
@@ -150,7 +149,7 @@
         }
         let clear = view.holders.iter().all(|host| {
             let applied = view.applied.get(host).copied().unwrap_or(0);
-            applied >= self.since_index || now >= view.leases.end_of(*host)
+            applied >= self.since_index || now >= view.leases.expires_at(*host)
         });
         if clear {
             self.clear_at = Some(now);
@@ -170,7 +169,7 @@
         let waited = now.since(self.clear_at.unwrap_or(now));
         let may_return = !planned && waited >= RETURN_WAIT;
         let candidates: Vec<&InstanceRecord> = directory
-            .of_service(&term.service)
+            .instances_of_service(&term.service)
             .filter(|record| may_return || record.key.id != term.primary.id)
             .collect();
         let goal = match planned && waited < CATCH_UP_TIMEOUT {
@@ -223,7 +222,7 @@
             return None;
         }
         self.asked_at.insert(key.clone(), now);
-        Some(TermStep::Ask(key))
+        Some(TermStep::AskStatus(key))
     }
 
     fn promote(
@@ -243,7 +242,7 @@
         let late = now.since(self.started_at) >= PROMOTION_TIMEOUT;
         if late || self.refused.contains(chosen) {
             self.proposed = true;
-            return vec![TermStep::Reopen];
+            return vec![TermStep::Restart];
         }
         let mut steps = Vec::new();
         if self.promoted_at.is_none_or(|at| now.since(at) >= PROMOTE_RETRY) {
@@ -253,7 +252,7 @@
         let asked = self.asked_at.get(chosen).copied().unwrap_or(self.started_at);
         if now.since(asked) >= 3 * STATUS_RETRY {
             self.asked_at.insert(chosen.clone(), now);
-            steps.push(TermStep::Ask(chosen.clone()));
+            steps.push(TermStep::AskStatus(chosen.clone()));
         }
         steps
     }
--- a/crates/decisions/src/requests/fair_queue.rs
+++ b/crates/decisions/src/requests/fair_queue.rs
@@ -33,7 +33,7 @@
 
     /// The next `limit` requests in the order in which they would be served:
     /// the first of each lane, then the second of each.
-    pub fn upcoming(&self, limit: usize) -> Vec<RequestId> {
+    pub fn peek_next(&self, limit: usize) -> Vec<RequestId> {
         let lanes = self.lanes.len();
         let deepest = self.lanes.values().map(VecDeque::len).max().unwrap_or(0);
         let place = |depth: usize, step: usize| {
@@ -46,8 +46,8 @@
             .collect()
     }
 
-    /// Takes out a request that is served now; the next lane has its turn.
-    pub fn serve(&mut self, caller: &Arc<str>, request: RequestId) {
+    /// Removes a request that is served now; the next lane has its turn.
+    pub fn dequeue(&mut self, caller: &Arc<str>, request: RequestId) {
         let lane = self.lanes.get_index_of(caller);
         self.remove(caller, request);
         if let Some(lane) = lane {
--- a/crates/decisions/src/requests/mod.rs
+++ b/crates/decisions/src/requests/mod.rs
@@ -5,5 +5,5 @@
 mod request_record;
 
 pub use fair_queue::FairQueue;
-pub use request_arrival::{MarkSource, RequestArrival, RequestKind};
+pub use request_arrival::{PositionSource, RequestArrival, RequestKind};
 pub use request_record::{RequestPhase, RequestRecord};
--- a/crates/decisions/src/requests/request_arrival.rs
+++ b/crates/decisions/src/requests/request_arrival.rs
@@ -11,20 +11,20 @@
 pub enum RequestKind {
     /// The primary only.
     Write,
-    /// A database that holds the session's mark.
+    /// A database that holds the session's position.
     SessionRead,
-    /// A database that holds the session's mark and is at most this old.
-    AgedRead(Duration),
+    /// A database that holds the session's position and is at most this old.
+    BoundedStaleness(Duration),
 }
 
-/// Where the session's mark comes from.
+/// Where the session's position comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MarkSource {
+pub enum PositionSource {
     /// The caller's connection or token holds it.
     Known(LogPosition),
-    /// Other proxies may serve the same session; its keepers are asked. The
-    /// mark is at least the one given.
-    Keepers(LogPosition),
+    /// Other proxies may serve the same session; its position hosts are
+    /// asked. The position is at least the one given.
+    PositionHosts(LogPosition),
 }
 
 /// A request that needs a connection to a database.
@@ -36,9 +36,9 @@
     pub group: GroupName,
     /// Which databases may serve it.
     pub kind: RequestKind,
-    /// Where its session's mark comes from.
-    pub mark: MarkSource,
-    /// The session under which marks are kept, if the caller named one.
+    /// Where its session's position comes from.
+    pub position_source: PositionSource,
+    /// The session under which positions are stored, if the caller named one.
     pub session: Option<SessionId>,
     /// It opens a transaction, which holds its connection between statements.
     pub transaction: bool,
--- a/crates/decisions/src/requests/request_record.rs
+++ b/crates/decisions/src/requests/request_record.rs
@@ -10,11 +10,11 @@
 /// How far a request has come.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestPhase {
-    /// Waits for its session's keepers.
-    LookingUp {
-        /// Keepers that did not answer yet.
+    /// Waits for its session's position hosts.
+    LookingUpPosition {
+        /// Position hosts that did not answer yet.
         waiting: BTreeSet<HostId>,
-        /// Highest mark heard; `None` once a keeper knew none.
+        /// Highest position received; `None` once a position host knew none.
         found: Option<LogPosition>,
         /// When the primary is asked instead.
         until: Moment,
@@ -35,11 +35,11 @@
         /// Position of the write.
         position: LogPosition,
     },
-    /// A mark waits until a keeper holds it.
-    StoringMark {
-        /// The mark.
-        mark: LogPosition,
-        /// When the answer is given without the keepers' word.
+    /// Waits until a position host holds the position.
+    StoringPosition {
+        /// The position.
+        position: LogPosition,
+        /// When the answer is given without confirmation by a position host.
         until: Moment,
     },
 }
@@ -49,8 +49,8 @@
 pub struct RequestRecord {
     /// What was asked.
     pub arrival: RequestArrival,
-    /// The session's mark, once known; `None` sends a read to the primary.
-    pub mark: Option<LogPosition>,
+    /// The session's position, once known; `None` sends a read to the primary.
+    pub session_position: Option<LogPosition>,
     /// How far it has come.
     pub phase: RequestPhase,
 }
--- a/crates/decisions/src/routes/route_table.rs
+++ b/crates/decisions/src/routes/route_table.rs
@@ -18,7 +18,7 @@
     },
     /// Two routes serve the same database and path.
     #[snafu(display("two routes serve database {database} at {path}; remove one"))]
-    SharedPlace {
+    DuplicatePath {
         /// The database.
         database: Arc<str>,
         /// The path.
@@ -26,7 +26,7 @@
     },
     /// A route gives its statements no time.
     #[snafu(display("route {route} has a timeout of 0; give at least 1 ms"))]
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: Arc<str>,
     },
@@ -62,11 +62,11 @@
                 return Err(RouteError::UnknownService { route, service });
             }
             if route.timeout.is_zero() {
-                return Err(RouteError::NoTimeout { route: route.name.clone() });
+                return Err(RouteError::ZeroTimeout { route: route.name.clone() });
             }
             if !places.insert((&route.database, &route.path)) {
                 let (database, path) = (route.database.clone(), route.path.clone());
-                return Err(RouteError::SharedPlace { database, path });
+                return Err(RouteError::DuplicatePath { database, path });
             }
         }
         Ok(())
--- a/crates/decisions/src/routing/read_choice.rs
+++ b/crates/decisions/src/routing/read_choice.rs
@@ -16,12 +16,12 @@
     pub now: Moment,
     /// Which databases may serve it.
     pub kind: RequestKind,
-    /// Reads have to wait so long that the primary may help out.
-    pub crowded: bool,
+    /// Reads wait so long that the primary may serve them as well.
+    pub offload_to_primary: bool,
     /// It opens a transaction.
     pub transaction: bool,
-    /// The mark that the database must hold; `None` asks for the primary.
-    pub mark: Option<LogPosition>,
+    /// The position that the database must hold; `None` asks for the primary.
+    pub position: Option<LogPosition>,
     /// The confirmed primary, or `None` while it is being replaced.
     pub primary: Option<&'a DatabaseName>,
     /// The term in force.
@@ -72,7 +72,7 @@
     // A read for which replicas are merely busy waits for them, unless the
     // wait is long and the primary has slots to spare.
     let usable = primary.filter(|view| {
-        let spares = query.crowded && view.is_at_ease();
+        let spares = query.offload_to_primary && view.is_lightly_loaded();
         let spares = spares || !replica_qualifies;
         view.is_available(query.now, query.transaction) && spares
     });
@@ -87,22 +87,22 @@
         true => 0,
         false => DISTANCE_COST_US,
     };
-    view.expected_completion() + distance
+    view.expected_completion_us() + distance
 }
 
 fn qualifies(query: &RouteQuery<'_>, view: &DatabaseView) -> bool {
-    let (Some(mark), Some(observed)) = (query.mark, view.observed.as_ref()) else {
+    let (Some(mark), Some(observed)) = (query.position, view.observed.as_ref()) else {
         return false;
     };
     let status = &observed.status;
     let in_term = status.term == query.term && status.role == DatabaseRole::Replica;
-    if !view.record.takes_work() || !in_term || !status.covers(mark) {
+    if !view.record.accepts_work() || !in_term || !status.covers(mark) {
         return false;
     }
     match query.kind {
         RequestKind::Write => false,
         RequestKind::SessionRead => true,
-        RequestKind::AgedRead(max_age) => query
+        RequestKind::BoundedStaleness(max_age) => query
             .samples
             .fresh_as_of(&status.history, status.position)
             .is_some_and(|as_of| query.now.since(as_of) <= max_age),
--- a/crates/decisions/src/sessions/mod.rs
+++ b/crates/decisions/src/sessions/mod.rs
@@ -1,9 +1,9 @@
-//! Sessions: tokens, marks and the hosts that keep marks.
+//! Sessions: tokens, positions and the hosts that store positions.
 
-mod keepers;
-mod mark_store;
+mod position_hosts;
+mod position_store;
 mod session_token;
 
-pub use keepers::{HostScore, KEEPER_COUNT, rank_hosts, session_keepers};
-pub use mark_store::{MarkStore, StoredMark};
+pub use position_hosts::{HostScore, POSITION_HOST_COUNT, rank_hosts, session_position_hosts};
+pub use position_store::{PositionStore, StoredPosition};
 pub use session_token::{SessionToken, TokenError, TokenKey};
--- a/crates/decisions/src/sessions/keepers.rs
+++ b/crates/decisions/src/sessions/position_hosts.rs
@@ -2,8 +2,8 @@
 
 use crate::identity::{HostId, SessionId};
 
-/// Hosts that keep each session's mark.
-pub const KEEPER_COUNT: usize = 2;
+/// Hosts that store each session's position.
+pub const POSITION_HOST_COUNT: usize = 2;
 
 /// A host's rank for a key by rendezvous hash; the highest win.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,12 +26,12 @@
     ranked.into_iter().map(|(_, host)| host).collect()
 }
 
-/// The hosts that keep the marks of `session`.
-pub fn session_keepers(
+/// The hosts that store the positions of `session`.
+pub fn session_position_hosts(
     session: &SessionId,
     hosts: impl IntoIterator<Item = HostId>,
 ) -> Vec<HostId> {
     let mut ranked = rank_hosts(session.as_str().as_bytes(), hosts);
-    ranked.truncate(KEEPER_COUNT);
+    ranked.truncate(POSITION_HOST_COUNT);
     ranked
 }
--- a/crates/decisions/src/sessions/mark_store.rs
+++ b/crates/decisions/src/sessions/position_store.rs
@@ -1,7 +1,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::keepers::HostScore;
+use super::position_hosts::HostScore;
 use crate::{
     identity::{GroupName, HostId, SessionId},
     positions::LogPosition,
@@ -10,15 +10,16 @@
 /// Most marks a host keeps for others; the oldest is evicted first.
 const MAX_MARKS: usize = 100_000;
 
-/// A session's mark in one group, as keepers exchange it.
+/// A session's position in one group, as position hosts exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoredMark {
+pub struct StoredPosition {
     /// The session.
     pub session: SessionId,
     /// The group.
     pub group: GroupName,
     /// The highest position that the session must see.
-    pub mark: LogPosition,
+    #[serde(rename = "mark")]
+    pub position: LogPosition,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -29,19 +30,19 @@
     lowest_score: Option<HostScore>,
 }
 
-/// Marks that this host keeps for sessions, in memory only.
+/// Positions that this host stores for sessions, in memory only.
 ///
-/// A missing mark means "not known", never "nothing written".
+/// A missing position means "not known", never "nothing written".
 #[derive(Debug, Default)]
-pub struct MarkStore {
+pub struct PositionStore {
     marks: IndexMap<(SessionId, GroupName), KeptMark>,
 }
 
-impl MarkStore {
-    /// Raises a mark; a lower one changes nothing. `keepers` are the hosts
-    /// that keep the session's marks now.
-    pub fn raise(&mut self, stored: StoredMark, keepers: &[HostId]) {
-        let StoredMark { session, group, mark } = stored;
+impl PositionStore {
+    /// Raises a position; a lower one changes nothing. `keepers` are the hosts
+    /// that store the session's positions now.
+    pub fn raise(&mut self, stored: StoredPosition, keepers: &[HostId]) {
+        let StoredPosition { session, group, position: mark } = stored;
         let key = session.as_str().as_bytes();
         let lowest_score = keepers.iter().map(|host| HostScore::of(key, *host)).min();
         let fresh = KeptMark { mark, lowest_score };
@@ -53,14 +54,14 @@
         }
     }
 
-    /// The mark of a session in a group, if this host keeps it.
+    /// The position of a session in a group, if this host stores it.
     pub fn find(&self, session: &SessionId, group: &GroupName) -> Option<LogPosition> {
         self.marks.get(&(session.clone(), group.clone())).map(|kept| kept.mark)
     }
 
-    /// Forgets the marks whose keepers change because `host` joined or left: a
-    /// newer one may go to other keepers from now on.
-    pub fn forget_moved(&mut self, host: HostId) {
+    /// Removes the positions whose position hosts change because `host` joined
+    /// or left: a newer position may go to other hosts from now on.
+    pub fn remove_moved(&mut self, host: HostId) {
         self.marks.retain(|(session, _), kept| {
             let score = HostScore::of(session.as_str().as_bytes(), host);
             kept.lowest_score.is_some_and(|lowest| score < lowest)
--- a/crates/decisions/src/sessions/session_token.rs
+++ b/crates/decisions/src/sessions/session_token.rs
@@ -52,16 +52,17 @@
 pub struct SessionToken {
     /// The session that the token speaks for.
     pub session: SessionId,
-    /// The group that the mark belongs to.
+    /// The group that the position belongs to.
     pub group: GroupName,
     /// The highest position that the session must see.
-    pub mark: LogPosition,
+    #[serde(rename = "mark")]
+    pub position: LogPosition,
 }
 
 impl SessionToken {
     /// Text form: `hs1~SESSION~GROUP~TERM~OFFSET~TAG`, at most 256 bytes.
     pub fn encode(&self, key: &TokenKey) -> String {
-        let mark = self.mark;
+        let mark = self.position;
         let mut text = format!(
             "{TOKEN_VERSION}~{}~{}~{:x}~{:x}",
             self.session, self.group, mark.term, mark.offset
@@ -107,7 +108,7 @@
         Ok(Self {
             session: SessionId::new(session).map_err(|_| TokenError::Malformed)?,
             group: group.clone(),
-            mark: LogPosition::new(number(term)?, number(offset)?),
+            position: LogPosition::new(number(term)?, number(offset)?),
         })
     }
 }
--- a/crates/decisions/src/statements/caller_setting.rs
+++ b/crates/decisions/src/statements/caller_setting.rs
@@ -26,7 +26,7 @@
 pub enum CallerSetting {
     /// `max_age`: age that reads accept; `None` asks for session reads.
     MaxAge(Option<Duration>),
-    /// `session`: identity under which marks are kept.
+    /// `session`: identity under which positions are stored.
     Session(SessionId),
     /// `request_key`: identity of the next write; `None` clears it.
     RequestKey(Option<Arc<str>>),
--- a/crates/decisions/tests/control_world/mod.rs
+++ b/crates/decisions/tests/control_world/mod.rs
@@ -84,7 +84,7 @@
     /// Starts a host with what its disk holds.
     pub fn boot(&mut self, id: HostId, bootstrap: bool) {
         let settings = ControlSettings {
-            me: id,
+            host: id,
             seeds: self.seeds.clone(),
             bootstrap,
             election_timeout: Duration::from_millis(500),
@@ -167,7 +167,7 @@
     pub fn order(&mut self, id: HostId, order: OperatorOrder) -> u64 {
         self.count += 1;
         let ticket = self.count;
-        self.step(id, ControlEvent::Ordered { ticket, order });
+        self.step(id, ControlEvent::OperatorOrdered { ticket, order });
         ticket
     }
 
@@ -361,7 +361,7 @@
             ControlEffect::Answer(ticket, answer) => {
                 self.answers.insert(ticket, answer);
             }
-            ControlEffect::Note(_) => {}
+            ControlEffect::Log(_) => {}
         }
     }
 }
--- a/crates/decisions/tests/fair_queue.rs
+++ b/crates/decisions/tests/fair_queue.rs
@@ -6,9 +6,9 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 
 fn serve_next(queue: &mut FairQueue, owners: &BTreeMap<u64, Arc<str>>) -> Option<Arc<str>> {
-    let next = *queue.upcoming(1).first()?;
+    let next = *queue.peek_next(1).first()?;
     let owner = owners[&next.0].clone();
-    queue.serve(&owner, next);
+    queue.dequeue(&owner, next);
     Some(owner)
 }
 
--- a/crates/decisions/tests/instance_directory.rs
+++ b/crates/decisions/tests/instance_directory.rs
@@ -30,29 +30,41 @@
 #[test]
 fn later_start_wins_over_higher_count() {
     let mut directory = InstanceDirectory::default();
-    assert_eq!(directory.announce(NOW, &record("a", 1, 90, 80)), DirectoryChange::Changed);
-    assert_eq!(directory.announce(NOW, &record("a", 2, 1, 80)), DirectoryChange::Changed);
-    assert_eq!(directory.announce(NOW, &record("a", 1, 91, 80)), DirectoryChange::Stale);
+    assert_eq!(
+        directory.record_announcement(NOW, &record("a", 1, 90, 80)),
+        DirectoryChange::Changed
+    );
+    assert_eq!(
+        directory.record_announcement(NOW, &record("a", 2, 1, 80)),
+        DirectoryChange::Changed
+    );
+    assert_eq!(directory.record_announcement(NOW, &record("a", 1, 91, 80)), DirectoryChange::Stale);
     assert_eq!(directory.get("a").map(|record| record.key.born_ms), Some(2));
 }
 
 #[test]
 fn repeated_announcement_only_refreshes() {
     let mut directory = InstanceDirectory::default();
-    directory.announce(NOW, &record("a", 1, 1, 80));
-    assert_eq!(directory.announce(NOW, &record("a", 1, 2, 80)), DirectoryChange::Refreshed);
-    assert_eq!(directory.announce(NOW, &record("a", 1, 2, 80)), DirectoryChange::Stale);
+    directory.record_announcement(NOW, &record("a", 1, 1, 80));
+    assert_eq!(
+        directory.record_announcement(NOW, &record("a", 1, 2, 80)),
+        DirectoryChange::Refreshed
+    );
+    assert_eq!(directory.record_announcement(NOW, &record("a", 1, 2, 80)), DirectoryChange::Stale);
     let draining = InstanceRecord { draining: true, ..record("a", 1, 3, 80) };
-    assert_eq!(directory.announce(NOW, &draining), DirectoryChange::Changed);
+    assert_eq!(directory.record_announcement(NOW, &draining), DirectoryChange::Changed);
 }
 
 #[test]
 fn address_belongs_to_the_last_start() {
     let mut directory = InstanceDirectory::default();
-    directory.announce(NOW, &record("old", 1, 5, 80));
-    directory.announce(NOW, &record("new", 2, 1, 80));
+    directory.record_announcement(NOW, &record("old", 1, 5, 80));
+    directory.record_announcement(NOW, &record("new", 2, 1, 80));
     // Delayed from before the crash of `old`.
-    assert_eq!(directory.announce(NOW, &record("old", 1, 6, 80)), DirectoryChange::Stale);
+    assert_eq!(
+        directory.record_announcement(NOW, &record("old", 1, 6, 80)),
+        DirectoryChange::Stale
+    );
     assert!(directory.get("old").is_none());
     assert!(directory.get("new").is_some());
 }
@@ -60,19 +72,25 @@
 #[test]
 fn departed_start_does_not_come_back() {
     let mut directory = InstanceDirectory::default();
-    directory.announce(NOW, &record("a", 1, 1, 80));
-    assert!(directory.depart(&InstanceDeparture { id: Arc::from("a"), born_ms: None }));
-    assert_eq!(directory.announce(NOW, &record("a", 1, 2, 80)), DirectoryChange::Stale);
-    assert_eq!(directory.announce(NOW, &record("a", 2, 1, 80)), DirectoryChange::Changed);
+    directory.record_announcement(NOW, &record("a", 1, 1, 80));
+    assert!(directory.record_departure(&InstanceDeparture { id: Arc::from("a"), born_ms: None }));
+    assert_eq!(directory.record_announcement(NOW, &record("a", 1, 2, 80)), DirectoryChange::Stale);
+    assert_eq!(
+        directory.record_announcement(NOW, &record("a", 2, 1, 80)),
+        DirectoryChange::Changed
+    );
 }
 
 #[test]
 fn silent_database_may_announce_itself_again() {
     let mut directory = InstanceDirectory::default();
-    directory.announce(NOW, &record("a", 1, 1, 80));
+    directory.record_announcement(NOW, &record("a", 1, 1, 80));
     let later = NOW + Duration::from_secs(20);
     assert_eq!(directory.expire(later, Duration::from_secs(12)).len(), 1);
-    assert_eq!(directory.announce(later, &record("a", 1, 2, 80)), DirectoryChange::Changed);
+    assert_eq!(
+        directory.record_announcement(later, &record("a", 1, 2, 80)),
+        DirectoryChange::Changed
+    );
 }
 
 proptest! {
@@ -90,7 +108,7 @@
         let newest = |records: &[InstanceRecord]| {
             let mut directory = InstanceDirectory::default();
             for record in records {
-                directory.announce(NOW, record);
+                directory.record_announcement(NOW, record);
             }
             directory.get("a").map(|record| (record.key.born_ms, record.sequence))
         };
--- a/crates/decisions/tests/mark_keepers.rs
+++ b/crates/decisions/tests/mark_keepers.rs
@@ -5,15 +5,15 @@
 use hawthornstack_decisions::{
     identity::{GroupName, HostId, SessionId},
     positions::LogPosition,
-    sessions::{MarkStore, StoredMark, session_keepers},
+    sessions::{PositionStore, StoredPosition, session_position_hosts},
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 
-fn stored(session: u32) -> StoredMark {
-    StoredMark {
+fn stored(session: u32) -> StoredPosition {
+    StoredPosition {
         session: SessionId::new(&format!("s{session}")).unwrap(),
         group: GroupName::new("shiftbook.1").unwrap(),
-        mark: LogPosition::new(1, 7),
+        position: LogPosition::new(1, 7),
     }
 }
 
@@ -32,17 +32,17 @@
         if !after.remove(&HostId(changed)) {
             after.insert(HostId(changed));
         }
-        let mut store = MarkStore::default();
+        let mut store = PositionStore::default();
         for session in &sessions {
             let mark = stored(*session);
-            let keepers = session_keepers(&mark.session, before.iter().copied());
+            let keepers = session_position_hosts(&mark.session, before.iter().copied());
             store.raise(mark, &keepers);
         }
-        store.forget_moved(HostId(changed));
+        store.remove_moved(HostId(changed));
         for session in &sessions {
             let mark = stored(*session);
-            let same = session_keepers(&mark.session, before.iter().copied())
-                == session_keepers(&mark.session, after.iter().copied());
+            let same = session_position_hosts(&mark.session, before.iter().copied())
+                == session_position_hosts(&mark.session, after.iter().copied());
             prop_assert_eq!(store.find(&mark.session, &mark.group).is_some(), same);
         }
     }
--- a/crates/decisions/tests/primary_changes.rs
+++ b/crates/decisions/tests/primary_changes.rs
@@ -174,7 +174,7 @@
     world.run(2 * SECOND);
     let leader = world.leader().expect("a leader");
     let directory = world.host(leader).expect("a host").directory();
-    assert_eq!(directory.of_service("books").count(), 3);
+    assert_eq!(directory.instances_of_service("books").count(), 3);
 }
 
 /// Replays of the log after a loss of all control hosts must not carry out its
--- a/crates/decisions/tests/queue_order.rs
+++ b/crates/decisions/tests/queue_order.rs
@@ -71,12 +71,12 @@
     let mut window = InflightWindow::new(5, 1, 40);
     let before = window.limit();
     for _ in 0..before {
-        window.answered(before);
+        window.record_answer(before);
     }
-    window.refused();
+    window.record_refusal();
     let after = window.limit();
     assert!(after < before);
-    window.refused();
+    window.record_refusal();
     assert_eq!(window.limit(), after);
 }
 
@@ -85,13 +85,13 @@
     let mut window = InflightWindow::new(2, 9, 8);
     let before = window.limit();
     for _ in 0..100 {
-        window.answered(0);
+        window.record_answer(0);
     }
     assert_eq!(window.limit(), before);
     for _ in 0..100 {
-        window.answered(window.limit());
+        window.record_answer(window.limit());
     }
     assert_eq!(window.limit(), 8);
-    window.set_largest(3);
+    window.set_max(3);
     assert_eq!(window.limit(), 3);
 }
--- a/crates/decisions/tests/read_choice.rs
+++ b/crates/decisions/tests/read_choice.rs
@@ -66,9 +66,9 @@
         let query = RouteQuery {
             now: NOW,
             kind: self.kind,
-            crowded: self.crowded,
+            offload_to_primary: self.crowded,
             transaction: false,
-            mark: self.mark,
+            position: self.mark,
             primary: Some(&primary),
             term: 1,
             data_centre: &data_centre,
@@ -99,7 +99,7 @@
     let behind =
         [view("primary", DatabaseRole::Primary, 10), view("behind", DatabaseRole::Replica, 6)];
     let read = |millis| {
-        let kind = RequestKind::AgedRead(Duration::from_millis(millis));
+        let kind = RequestKind::BoundedStaleness(Duration::from_millis(millis));
         Ask::new(kind, Some(0)).choose(&behind)
     };
     assert_eq!(read(1_100).as_deref(), Some("behind"), "it is 1 s old");
@@ -110,14 +110,14 @@
 fn busy_replicas() {
     let mut busy = views();
     for view in &mut busy[1..] {
-        view.statements = 2;
+        view.pending_statements = 2;
         view.in_use = 2;
     }
     let mut ask = Ask::new(RequestKind::SessionRead, Some(8));
     assert_eq!(ask.choose(&busy), None, "it waits for the replica");
     ask.crowded = true;
     assert_eq!(ask.choose(&busy).as_deref(), Some("primary"), "the primary helps out");
-    busy[0].statements = 1;
+    busy[0].pending_statements = 1;
     assert_eq!(ask.choose(&busy), None, "the rest of the primary is for writes");
 }
 
--- a/crates/decisions/tests/read_targets.rs
+++ b/crates/decisions/tests/read_targets.rs
@@ -5,7 +5,7 @@
 
 use hawthornstack_decisions::{
     clock::Moment,
-    entry_role::{DatabasePath, EntryView, ReadMarks, ReadNeed, ReadTarget},
+    entry_role::{DatabasePath, EntryView, ReadRequirement, ReadTarget, SampledPositions},
     identity::HostId,
     instances::{InstanceKey, InstanceRecord, InstanceRole},
     positions::LogPosition,
@@ -47,7 +47,7 @@
 fn view(now: Moment) -> EntryView {
     let mut view = EntryView::new(Arc::from("a"));
     let records = [record("p", InstanceRole::Primary, 1), record("r", InstanceRole::Replica, 2)];
-    view.announced(Moment::from_millis(500), &records);
+    view.record_announcements(Moment::from_millis(500), &records);
     let term = ServiceTerm {
         service: Arc::from(SERVICE),
         number: 1,
@@ -56,18 +56,18 @@
         phase: TermPhase::Steady,
     };
     view.apply_state(1, None, vec![term]);
-    view.grant(Moment::from_millis(500), Duration::from_millis(9_500), 1, 1);
+    view.extend_lease(Moment::from_millis(500), Duration::from_millis(9_500), 1, 1);
     let mut at = Moment::from_millis(1_000);
     while at < now {
         let position = LogPosition::new(1, at.as_micros() / 100_000);
-        view.saw_primary(at, &Arc::from(SERVICE), 1, at, position);
+        view.record_primary_position(at, &Arc::from(SERVICE), 1, at, position);
         at = at + Duration::from_millis(100);
     }
     view
 }
 
 fn target(view: &EntryView, now: Moment, kind: RouteKind, own: Option<LogPosition>) -> ReadTarget {
-    let need = view.read_need(now, &route(kind), own);
+    let need = view.read_requirement(now, &route(kind), own);
     view.read_target(now, SERVICE, need, &[])
 }
 
@@ -82,7 +82,9 @@
 #[test]
 fn mark_is_never_older_than_the_accepted_age() {
     let view = view(NOW);
-    let ReadNeed::Position { position, .. } = view.read_need(NOW, &route(YOUNG), None) else {
+    let ReadRequirement::Position { position, .. } =
+        view.read_requirement(NOW, &route(YOUNG), None)
+    else {
         panic!("no mark");
     };
     assert!(position.offset >= 40, "{position}");
@@ -96,7 +98,7 @@
     let ReadTarget::Replica { record, position } = target(&view, NOW, YOUNG, None) else {
         panic!("no replica");
     };
-    view.loads.lagged(NOW, &record.key, position);
+    view.loads.record_lag(NOW, &record.key, position);
     assert_eq!(target(&view, NOW, YOUNG, None), ReadTarget::Primary);
     assert!(is_replica(&target(&view, NOW, OLD, None)));
     let later = NOW + Duration::from_millis(300);
@@ -109,7 +111,7 @@
     let own = Some(LogPosition::new(1, 49));
     assert_eq!(target(&view, NOW, OLD, own), ReadTarget::Primary);
     let key = record("r", InstanceRole::Replica, 2).key;
-    view.loads.saw_position(&key, LogPosition::new(1, 49));
+    view.loads.record_position(&key, LogPosition::new(1, 49));
     assert!(is_replica(&target(&view, NOW, OLD, own)));
 }
 
@@ -123,13 +125,13 @@
 fn marks_are_taken_only_under_a_lease() {
     let mut view = view(NOW);
     let late = Moment::from_millis(11_000);
-    view.saw_primary(late, &Arc::from(SERVICE), 1, late, LogPosition::new(1, 110));
-    assert_eq!(view.read_need(late, &route(YOUNG), None), ReadNeed::Latest);
+    view.record_primary_position(late, &Arc::from(SERVICE), 1, late, LogPosition::new(1, 110));
+    assert_eq!(view.read_requirement(late, &route(YOUNG), None), ReadRequirement::Latest);
 }
 
 #[test]
 fn marks_do_not_step_back() {
-    let mut marks = ReadMarks::default();
+    let mut marks = SampledPositions::default();
     marks.record(Moment::from_millis(100), LogPosition::new(2, 5));
     marks.record(Moment::from_millis(200), LogPosition::new(1, 9));
     let mark = marks.oldest_within(Moment::from_millis(210), Duration::from_millis(50));
@@ -143,7 +145,7 @@
 /// A view of so many entry hosts.
 fn crowd(hosts: u32) -> EntryView {
     let mut view = EntryView::new(Arc::from("a"));
-    view.grant(Moment::ZERO, Duration::from_secs(1), 0, hosts);
+    view.extend_lease(Moment::ZERO, Duration::from_secs(1), 0, hosts);
     view.set_entry_hosts((1..=hosts).map(HostId).collect());
     view
 }
@@ -165,7 +167,7 @@
         for me in 1..=hosts {
             match path(&view, me, connections) {
                 DatabasePath::Direct { connections } => opened += connections,
-                DatabasePath::Homes(ranked) => homes.push(ranked),
+                DatabasePath::Gateways(ranked) => homes.push(ranked),
             }
         }
         assert!((1..=connections).contains(&opened), "{hosts}: {opened} of {connections}");
@@ -179,7 +181,7 @@
     let view = crowd(60);
     let mut preferred = BTreeMap::new();
     for me in 1..=60 {
-        if let DatabasePath::Homes(ranked) = path(&view, me, 20) {
+        if let DatabasePath::Gateways(ranked) = path(&view, me, 20) {
             *preferred.entry(ranked[0]).or_insert(0) += 1;
         }
     }
@@ -212,11 +214,11 @@
     assert!(reads_at_replica(&view, now));
     let replica = record("r", InstanceRole::Replica, 2).key;
     for outcome in [false, true, false, true, false, true] {
-        view.loads.ran(now, &replica, outcome);
+        view.loads.record_result(now, &replica, outcome);
     }
-    assert!((0.1..0.5).contains(&view.loads.get(&replica).failing_share(now)));
+    assert!((0.1..0.5).contains(&view.loads.get(&replica).failure_share(now)));
     assert!(!reads_at_replica(&view, now));
     let later = now + Duration::from_secs(4);
-    view.saw_primary(later, &Arc::from(SERVICE), 1, later, LogPosition::new(1, 90));
-    assert!(view.loads.get(&replica).failing_share(later) < 0.1);
+    view.record_primary_position(later, &Arc::from(SERVICE), 1, later, LogPosition::new(1, 90));
+    assert!(view.loads.get(&replica).failure_share(later) < 0.1);
 }
--- a/crates/decisions/tests/schedule/schedule_run.rs
+++ b/crates/decisions/tests/schedule/schedule_run.rs
@@ -203,7 +203,7 @@
         lease_renewal: Duration::from_millis(150),
         suspect_after: Duration::from_millis(400),
         stall_after: Duration::from_millis(1_500),
-        homes_per_group: 3,
+        gateways_per_group: 3,
         election_timeout: Duration::from_millis(300),
         heartbeat_interval: Duration::from_millis(50),
         seed,
@@ -390,13 +390,13 @@
                 self.after(delay, Action::Execute { host, request, database, epoch });
             }
             HostEffect::Forward(request, homes) => self.forward(host, request, &homes),
-            HostEffect::Conclude(request, conclusion) => {
+            HostEffect::Complete(request, conclusion) => {
                 self.concluded(host, request, conclusion.result);
             }
             HostEffect::Answer { ticket, answer } => self.answered(ticket, answer),
             HostEffect::AnnouncementRefused { .. }
             | HostEffect::Draining(_)
-            | HostEffect::Note(_) => {}
+            | HostEffect::Log(_) => {}
         }
     }
 
@@ -477,7 +477,7 @@
                 if let Some(operation) = self.running.get(&(host, request)) {
                     self.operations[*operation].found = found;
                 }
-                self.step(host, HostEvent::Executed(request, report));
+                self.step(host, HostEvent::RequestExecuted(request, report));
             }
             Action::Replicate(database) => self.replicate(database),
             Action::Announce(database) => self.announce(database),
--- a/crates/decisions/tests/schedule/schedule_run/callers.rs
+++ b/crates/decisions/tests/schedule/schedule_run/callers.rs
@@ -5,9 +5,9 @@
     directory::DatabaseRole,
     identity::{RequestId, SessionId},
     outcomes::{Outcome, ResultCode},
-    pg_host::{HomeAddress, HostEvent, OperatorAnswer, OperatorQuestion},
+    pg_host::{GatewayAddress, HostEvent, OperatorAnswer, OperatorQuestion},
     positions::LogPosition,
-    requests::{MarkSource, RequestArrival, RequestKind},
+    requests::{PositionSource, RequestArrival, RequestKind},
 };
 use rand::RngExt;
 
@@ -47,7 +47,7 @@
         let kind = match (writes, self.rng.random_range(0..2)) {
             (true, _) => RequestKind::Write,
             (false, 0) => RequestKind::SessionRead,
-            (false, _) => RequestKind::AgedRead(Duration::from_millis(500)),
+            (false, _) => RequestKind::BoundedStaleness(Duration::from_millis(500)),
         };
         self.arrive(host, request, session, kind, false);
     }
@@ -64,19 +64,19 @@
             request,
             group: group(),
             kind,
-            mark: MarkSource::Keepers(LogPosition::default()),
+            position_source: PositionSource::PositionHosts(LogPosition::default()),
             session: Some(SessionId::new(&format!("s{session}")).unwrap()),
             transaction: false,
             caller: Arc::from(format!("caller-{session}")),
             forwarded,
             deadline: self.moment(host) + Duration::from_secs(2),
         };
-        self.step(host, HostEvent::Arrived(arrival));
+        self.step(host, HostEvent::RequestArrived(arrival));
     }
 
     /// Hands a request to the first home, as the daemon does; a home that is
     /// down or cut off refuses it.
-    pub(super) fn forward(&mut self, host: usize, request: RequestId, homes: &[HomeAddress]) {
+    pub(super) fn forward(&mut self, host: usize, request: RequestId, homes: &[GatewayAddress]) {
         let Some(operation) = self.running.remove(&(host, request)) else {
             return;
         };
@@ -123,7 +123,7 @@
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         self.tickets.insert(ticket, question.clone());
-        self.step(host, HostEvent::Asked { ticket, question });
+        self.step(host, HostEvent::OperatorAsked { ticket, question });
     }
 
     pub(super) fn operate(&mut self) {
--- a/crates/decisions/tests/session_tokens.rs
+++ b/crates/decisions/tests/session_tokens.rs
@@ -11,7 +11,7 @@
     SessionToken {
         session: SessionId::new("worker-7").unwrap(),
         group: GroupName::new("shiftbook.1").unwrap(),
-        mark,
+        position: mark,
     }
 }
 
--- a/crates/decisions/tests/shared_connections.rs
+++ b/crates/decisions/tests/shared_connections.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use hawthornstack_decisions::entry_role::{
-    ConnectionState, PreparedShape, RestoreStep, SessionState,
+    ConnectionState, PreparedStatement, RestoreStep, SessionState,
 };
 use proptest::prelude::*;
 
@@ -12,7 +12,7 @@
 #[derive(Default)]
 struct FakeConnection {
     values: BTreeMap<Arc<str>, Arc<str>>,
-    prepared: BTreeMap<Arc<str>, PreparedShape>,
+    prepared: BTreeMap<Arc<str>, PreparedStatement>,
 }
 
 impl FakeConnection {
@@ -37,8 +37,8 @@
     SessionState { values, ..SessionState::default() }
 }
 
-fn shape(number: u8) -> PreparedShape {
-    PreparedShape { writes: number.is_multiple_of(2), shape: Arc::from(format!("q{number}")) }
+fn shape(number: u8) -> PreparedStatement {
+    PreparedStatement { writes: number.is_multiple_of(2), shape: Arc::from(format!("q{number}")) }
 }
 
 #[test]
