--- a/crates/decisions/tests/whole_configurations.rs
+++ b/crates/decisions/tests/whole_configurations.rs
@@ -63,7 +63,7 @@
 fn follower_names_the_leader() {
     let (mut world, leader) = formed();
     let follower = [1, 2, 3].map(HostId).into_iter().find(|id| *id != leader).expect("one");
-    assert_eq!(read(&mut world, follower), Some(OrderAnswer::Elsewhere(leader)));
+    assert_eq!(read(&mut world, follower), Some(OrderAnswer::NotLeader(leader)));
 }
 
 #[test]
@@ -146,7 +146,7 @@
     let unknown = with(vec![route("r", "nowhere", SECOND)]);
     assert!(matches!(unknown, Err(RouteError::UnknownService { .. })));
     let no_time = with(vec![route("r", "books", Duration::ZERO)]);
-    assert!(matches!(no_time, Err(RouteError::NoTimeout { .. })));
+    assert!(matches!(no_time, Err(RouteError::ZeroTimeout { .. })));
     let shared = with(vec![route("r", "books", SECOND), route("s", "books", SECOND)]);
-    assert!(matches!(shared, Err(RouteError::SharedPlace { .. })));
+    assert!(matches!(shared, Err(RouteError::DuplicatePath { .. })));
 }
--- a/crates/lab/src/slopes/decision_slopes.rs
+++ b/crates/lab/src/slopes/decision_slopes.rs
@@ -61,7 +61,7 @@
             lease_renewal: Duration::from_secs(1),
             suspect_after: Duration::from_millis(400),
             stall_after: Duration::from_millis(1_500),
-            homes_per_group: 3,
+            gateways_per_group: 3,
             election_timeout: Duration::from_millis(300),
             heartbeat_interval: Duration::from_millis(50),
             seed,
@@ -90,7 +90,7 @@
     fn ask(&mut self, question: OperatorQuestion) -> Option<OperatorAnswer> {
         self.tickets += 1;
         let ticket = self.tickets;
-        let effects = self.step(HostEvent::Asked { ticket, question });
+        let effects = self.step(HostEvent::OperatorAsked { ticket, question });
         effects.into_iter().find_map(|effect| match effect {
             HostEffect::Answer { answer, .. } => Some(answer),
             _ => None,
