--- a/crates/daemon/src/control_role/control_service.rs
+++ b/crates/daemon/src/control_role/control_service.rs
@@ -262,7 +262,7 @@
         effects.into_iter().for_each(|effect| self.carry_out(effect));
         let agreement = self.host.agreement();
         let connected = match agreement.is_leader() {
-            true => self.host.is_current(self.clock.now()),
+            true => self.host.is_current_leader(self.clock.now()),
             false => agreement.leader().is_some(),
         };
         self.connected.set(connected);
@@ -360,14 +360,16 @@
         ControlLogEvent::LeadershipLost => {
             tracing::info!(target: "control", "this host no longer leads");
         }
-        ControlLogEvent::Voters(voters) => tracing::info!(target: "control", ?voters, "voters"),
-        ControlLogEvent::Routes(version) => {
+        ControlLogEvent::VotersChanged(voters) => {
+            tracing::info!(target: "control", ?voters, "voters")
+        }
+        ControlLogEvent::RoutesReplaced(version) => {
             tracing::info!(target: "control", version, "configuration in force");
         }
-        ControlLogEvent::Term { service, number, what } => {
+        ControlLogEvent::TermChanged { service, number, what } => {
             tracing::info!(target: "control", %service, number, %what, "term");
         }
-        ControlLogEvent::Instance { key, what } => {
+        ControlLogEvent::InstanceChanged { key, what } => {
             tracing::info!(target: "control", instance = %key, what, "database");
         }
     }
--- a/crates/daemon/src/control_role/status_pages.rs
+++ b/crates/daemon/src/control_role/status_pages.rs
@@ -31,7 +31,7 @@
     Ok(StatusResponse {
         host: me,
         leader: agreement.leader(),
-        is_current_leader: control_host.is_current(now),
+        is_current_leader: control_host.is_current_leader(now),
         has_lease: is_connected,
         version: control.routes_version(),
         applied: control.applied,
--- a/crates/daemon/src/pg_callers/keyed_request.rs
+++ b/crates/daemon/src/pg_callers/keyed_request.rs
@@ -145,7 +145,7 @@
                         self.attempt(&mut connection),
                     );
                     match KeyedStep::after(attempt.await.unwrap_or(Err(UpstreamError::Late))) {
-                        KeyedStep::Lost => handle.report(ExecutionReport::Lost),
+                        KeyedStep::Lost => handle.report(ExecutionReport::ConnectionLost),
                         KeyedStep::Report(report, answer) => {
                             held = answer;
                             store.check_in(&database, connection);
--- a/crates/daemon/src/pg_callers/request_runner.rs
+++ b/crates/daemon/src/pg_callers/request_runner.rs
@@ -344,7 +344,7 @@
                 self.conclude(state, handle).await.map(|()| answer)
             }
             _ => {
-                handle.report(ExecutionReport::Lost);
+                handle.report(ExecutionReport::ConnectionLost);
                 match self.conclude(state, handle).await {
                     Ok(()) => Err(ResultCode::ConnectionLost),
                     Err(code) => Err(code),
@@ -380,10 +380,10 @@
 ) -> (ExecutionReport, Option<AnswerWriter>) {
     let done = match performed {
         Ok(done) if done.segment.status == b'I' => done,
-        Ok(_) => return (ExecutionReport::Lost, None),
+        Ok(_) => return (ExecutionReport::ConnectionLost, None),
         Err(error) => {
             log::debug!(target: "upstreams", "A request failed: {error}.");
-            return (ExecutionReport::Lost, None);
+            return (ExecutionReport::ConnectionLost, None);
         }
     };
     let writes = kind == RequestKind::Write;
@@ -392,7 +392,7 @@
     }
     let report = match (writes && !done.segment.failed, done.position) {
         (true, Some(position)) => ExecutionReport::Written(position),
-        (true, None) => ExecutionReport::Lost,
+        (true, None) => ExecutionReport::ConnectionLost,
         (false, position) => ExecutionReport::Read(position),
     };
     (report, Some(done.answer))
--- a/crates/daemon/src/pg_host/host_service.rs
+++ b/crates/daemon/src/pg_host/host_service.rs
@@ -214,7 +214,7 @@
                 self.signal(request, RequestSignal::Conclude(conclusion));
             }
             HostEffect::Answer { ticket, answer } => self.answer(ticket, answer),
-            HostEffect::Draining(draining) => {
+            HostEffect::SetDraining(draining) => {
                 log::info!(target: "host", "An operator set draining to {draining}.");
                 self.draining.send_replace(draining);
             }
--- a/crates/daemon/src/pg_upstreams/database_monitor.rs
+++ b/crates/daemon/src/pg_upstreams/database_monitor.rs
@@ -70,7 +70,7 @@
             };
             (term, position) = (status.term, status.position);
             let database = self.database.clone();
-            let event = HostEvent::Reported { database, sent_at, status };
+            let event = HostEvent::DatabaseReported { database, sent_at, status };
             let _ = self.host.send_message(HostMessage::Event(event));
             sleep(REPORT_SPACING).await;
         }
--- a/crates/daemon/src/settings/daemon_settings.rs
+++ b/crates/daemon/src/settings/daemon_settings.rs
@@ -260,7 +260,7 @@
                 draining: false,
             },
             voters: self.control.voters.iter().map(|voter| voter.id).collect(),
-            lease: self.control.lease,
+            lease_duration: self.control.lease,
             lease_renewal: self.control.renewal,
             suspect_after: self.failover.suspect_after,
             stall_after: self.failover.stall_after,
--- a/crates/decisions/src/agreement/agreement_state.rs
+++ b/crates/decisions/src/agreement/agreement_state.rs
@@ -311,7 +311,7 @@
 
     /// True if this host leads, has committed an entry of its term, and no
     /// other leader can exist yet.
-    pub fn is_current(&self, now: Moment) -> bool {
+    pub fn is_current_leader(&self, now: Moment) -> bool {
         let AgreementRole::Leader(leader) = &self.role else {
             return false;
         };
--- a/crates/decisions/src/control_role/control_event.rs
+++ b/crates/decisions/src/control_role/control_event.rs
@@ -101,11 +101,11 @@
     /// This host no longer leads.
     LeadershipLost,
     /// The voters changed.
-    Voters(Vec<HostId>),
+    VotersChanged(Vec<HostId>),
     /// A configuration is in force.
-    Routes(u64),
+    RoutesReplaced(u64),
     /// The primary of a service, or what is done about it, changed.
-    Term {
+    TermChanged {
         /// The service.
         service: Arc<str>,
         /// Count of changes.
@@ -114,7 +114,7 @@
         what: Arc<str>,
     },
     /// A database appeared or changed.
-    Instance {
+    InstanceChanged {
         /// The database.
         key: InstanceKey,
         /// What happened, in words.
--- a/crates/decisions/src/control_role/control_host_state.rs
+++ b/crates/decisions/src/control_role/control_host_state.rs
@@ -51,7 +51,7 @@
     /// Time between a leader's heartbeats.
     pub heartbeat_interval: Duration,
     /// Length of an entry host's lease.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Silence after which a database is forgotten.
     pub announcement_lifetime: Duration,
     /// Differs at every start.
@@ -74,7 +74,7 @@
             bootstrap,
             election_timeout: ELECTION_TIMEOUT,
             heartbeat_interval: HEARTBEAT_INTERVAL,
-            lease: ENTRY_LEASE,
+            lease_duration: ENTRY_LEASE,
             announcement_lifetime: announcement_interval * LOST_ANNOUNCEMENTS,
             seed,
         }
@@ -233,8 +233,8 @@
     }
 
     /// True if this host leads and can prove it.
-    pub fn is_current(&self, now: Moment) -> bool {
-        self.leader_state.is_some() && self.agreement.is_current(now)
+    pub fn is_current_leader(&self, now: Moment) -> bool {
+        self.leader_state.is_some() && self.agreement.is_current_leader(now)
     }
 
     fn tick(&mut self, now: Moment) {
@@ -315,7 +315,7 @@
             EntryPayload::Voters { voters, .. } => {
                 voters.iter().for_each(|voter| self.know_peer(*voter));
                 let voters = voters.into_iter().collect();
-                self.effects.push(ControlEffect::Log(ControlLogEvent::Voters(voters)));
+                self.effects.push(ControlEffect::Log(ControlLogEvent::VotersChanged(voters)));
             }
             EntryPayload::Command(command) => {
                 self.control.apply(index, &command);
@@ -356,7 +356,7 @@
         let change = std::mem::take(&mut self.unsettled);
         if change.routes {
             let version = self.control.routes_version();
-            self.effects.push(ControlEffect::Log(ControlLogEvent::Routes(version)));
+            self.effects.push(ControlEffect::Log(ControlLogEvent::RoutesReplaced(version)));
         }
         change.services.iter().for_each(|service| self.note_term(service));
         if change.for_entries {
@@ -368,7 +368,7 @@
     fn note_term(&mut self, service: &Arc<str>) {
         if let Some(term) = self.control.terms.get(service) {
             let what = format!("primary {}, {:?}", term.primary, term.phase);
-            self.effects.push(ControlEffect::Log(ControlLogEvent::Term {
+            self.effects.push(ControlEffect::Log(ControlLogEvent::TermChanged {
                 service: service.clone(),
                 number: term.number,
                 what: Arc::from(what),
@@ -388,7 +388,7 @@
         self.effects.push(ControlEffect::Log(ControlLogEvent::LeadershipGained(term)));
         self.leader_state = Some(LeaderState {
             since: now,
-            leases: LeaseTable::new(now, self.settings.lease),
+            leases: LeaseTable::new(now, self.settings.lease_duration),
             polls: BTreeMap::new(),
             changes: BTreeMap::new(),
             steady_since: BTreeMap::new(),
--- a/crates/decisions/src/control_role/directory_flow.rs
+++ b/crates/decisions/src/control_role/directory_flow.rs
@@ -99,7 +99,7 @@
             (false, InstanceRole::Replica) => "serves as replica",
         };
         let key = record.key.clone();
-        self.effects.push(ControlEffect::Log(ControlLogEvent::Instance { key, what }));
+        self.effects.push(ControlEffect::Log(ControlLogEvent::InstanceChanged { key, what }));
     }
 
     fn tell_peers(&mut self, message: &ControlMessage) {
--- a/crates/decisions/src/control_role/entry_flow.rs
+++ b/crates/decisions/src/control_role/entry_flow.rs
@@ -64,7 +64,7 @@
         let applied = progress.applied;
         let caught_up =
             self.entries.insert(host, progress).is_some_and(|before| before.applied < applied);
-        if !self.is_current(now) {
+        if !self.is_current_leader(now) {
             let leader = self.agreement.leader();
             return self.send_entry(host, EntryUpdate::NotLeader { leader });
         }
--- a/crates/decisions/src/control_role/order_flow.rs
+++ b/crates/decisions/src/control_role/order_flow.rs
@@ -20,7 +20,7 @@
             };
             return self.answer(ticket, answer);
         }
-        if !self.is_current(now) {
+        if !self.is_current_leader(now) {
             return self.answer(ticket, OrderAnswer::Unavailable);
         }
         match order {
--- a/crates/decisions/src/control_role/term_flow.rs
+++ b/crates/decisions/src/control_role/term_flow.rs
@@ -24,7 +24,7 @@
 impl ControlHost {
     /// The leader's work after anything changed.
     pub(super) fn lead(&mut self, now: Moment) {
-        if !self.is_current(now) {
+        if !self.is_current_leader(now) {
             return;
         }
         self.note_steady(now);
--- a/crates/decisions/src/directory/database_view.rs
+++ b/crates/decisions/src/directory/database_view.rs
@@ -31,7 +31,7 @@
     /// Its last report.
     pub observed: Option<ObservedStatus>,
     /// Connections that this host may use at a time.
-    pub share: u32,
+    pub connection_share: u32,
     /// Connections in use.
     pub in_use: u32,
     /// Statements sent outside transactions and not answered yet.
@@ -48,7 +48,7 @@
         Self {
             record,
             observed: None,
-            share,
+            connection_share: share,
             in_use: 0,
             pending_statements: 0,
             consecutive_failures: 0,
@@ -67,7 +67,7 @@
     /// they take turns, and not in the database.
     pub fn is_available(&self, now: Moment, transaction: bool) -> bool {
         let has_slot = transaction || self.pending_statements < self.record.slots;
-        self.in_use < self.share && has_slot && !self.is_ejected(now)
+        self.in_use < self.connection_share && has_slot && !self.is_ejected(now)
     }
 
     /// True if less than half of its slots are in use by this host.
--- a/crates/decisions/src/pg_host/gateway_flow.rs
+++ b/crates/decisions/src/pg_host/gateway_flow.rs
@@ -15,7 +15,7 @@
         let draining = record.is_some_and(|record| record.draining);
         if draining != self.draining {
             self.draining = draining;
-            self.effects.push(HostEffect::Draining(draining));
+            self.effects.push(HostEffect::SetDraining(draining));
         }
     }
 
@@ -104,7 +104,7 @@
             let share = record.connection_share(member);
             match view.databases.get_mut(&member.database) {
                 Some(database) if wanted => {
-                    database.share = share;
+                    database.connection_share = share;
                     database.record = member.clone();
                 }
                 Some(_) => {
--- a/crates/decisions/src/pg_host/group_view.rs
+++ b/crates/decisions/src/pg_host/group_view.rs
@@ -136,7 +136,7 @@
         });
         let pace: f64 = serving
             .map(|view| {
-                f64::from(view.share.min(view.record.slots))
+                f64::from(view.connection_share.min(view.record.slots))
                     / view.service_time().as_secs_f64().max(1e-6)
             })
             .sum();
--- a/crates/decisions/src/pg_host/host_effect.rs
+++ b/crates/decisions/src/pg_host/host_effect.rs
@@ -83,7 +83,7 @@
         answer: OperatorAnswer,
     },
     /// An operator drains this host, or takes it back.
-    Draining(bool),
+    SetDraining(bool),
     /// An announcement was refused.
     AnnouncementRefused {
         /// The database.
--- a/crates/decisions/src/pg_host/host_event.rs
+++ b/crates/decisions/src/pg_host/host_event.rs
@@ -19,7 +19,7 @@
     /// Nothing ran at the database, and nothing will.
     NotRun,
     /// The connection was lost; it may have run.
-    Lost,
+    ConnectionLost,
 }
 
 /// Input of a host.
@@ -36,7 +36,7 @@
     /// An upstream announced itself here.
     Announced(Announcement),
     /// A database reported; the question was sent at the given time.
-    Reported {
+    DatabaseReported {
         /// The database.
         database: DatabaseName,
         /// When the question was sent.
--- a/crates/decisions/src/pg_host/host_settings.rs
+++ b/crates/decisions/src/pg_host/host_settings.rs
@@ -10,7 +10,7 @@
     /// The first voters of the deployment.
     pub voters: BTreeSet<HostId>,
     /// Length of the lease that lets a host serve.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Time between renewals of the lease.
     pub lease_renewal: Duration,
     /// Silence of a primary before this host suspects it.
--- a/crates/decisions/src/pg_host/host_state.rs
+++ b/crates/decisions/src/pg_host/host_state.rs
@@ -118,7 +118,7 @@
                 self.step_agreement(now, AgreementEvent::Persisted(number));
             }
             HostEvent::Announced(announcement) => self.announced(now, announcement),
-            HostEvent::Reported { database, sent_at, status } => {
+            HostEvent::DatabaseReported { database, sent_at, status } => {
                 self.reported(now, &database, sent_at, status);
             }
             HostEvent::ReportFailed(database) => self.report_failed(now, &database),
@@ -160,7 +160,7 @@
 
     /// True if this host leads control and can prove it.
     pub fn is_current_leader(&self, now: Moment) -> bool {
-        self.agreement.as_ref().is_some_and(|agreement| agreement.is_current(now))
+        self.agreement.as_ref().is_some_and(|agreement| agreement.is_current_leader(now))
     }
 
     /// Requests under way.
--- a/crates/decisions/src/pg_host/leader_state.rs
+++ b/crates/decisions/src/pg_host/leader_state.rs
@@ -68,7 +68,7 @@
     pub(super) fn start_leading(&mut self, now: Moment, term: u64) {
         self.leader = Some(self.settings.id());
         self.leader_state = Some(LeaderState {
-            leases: LeaseTable::new(now, self.settings.lease),
+            leases: LeaseTable::new(now, self.settings.lease_duration),
             suspicions: SuspicionTable::default(),
             changes: BTreeMap::new(),
             followers: BTreeMap::new(),
--- a/crates/decisions/src/pg_host/request_flow.rs
+++ b/crates/decisions/src/pg_host/request_flow.rs
@@ -251,10 +251,10 @@
                 self.conclude(now, request, ResultCode::Done, None);
             }
             ExecutionReport::NotRun => self.enqueue(now, request),
-            ExecutionReport::Lost if kind == RequestKind::Write => {
+            ExecutionReport::ConnectionLost if kind == RequestKind::Write => {
                 self.conclude(now, request, ResultCode::ConnectionLost, None);
             }
-            ExecutionReport::Lost => self.enqueue(now, request),
+            ExecutionReport::ConnectionLost => self.enqueue(now, request),
         }
         self.pump(now, &name);
     }
@@ -285,7 +285,7 @@
             | ExecutionReport::RolledBack => {
                 view.record_success(now.since(since));
             }
-            ExecutionReport::NotRun | ExecutionReport::Lost => view.record_failure(now),
+            ExecutionReport::NotRun | ExecutionReport::ConnectionLost => view.record_failure(now),
         }
     }
 
--- a/crates/decisions/src/sessions/position_hosts.rs
+++ b/crates/decisions/src/sessions/position_hosts.rs
@@ -7,9 +7,9 @@
 
 /// A host's rank for a key by rendezvous hash; the highest win.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct HostScore(u64);
+pub struct RendezvousScore(u64);
 
-impl HostScore {
+impl RendezvousScore {
     /// The score of a host for `key`.
     pub fn of(key: &[u8], host: HostId) -> Self {
         Self(xxh3_64_with_seed(key, u64::from(host.0)))
@@ -20,8 +20,8 @@
 ///
 /// Adding or removing a host moves only the keys that it wins or held.
 pub fn rank_hosts(key: &[u8], hosts: impl IntoIterator<Item = HostId>) -> Vec<HostId> {
-    let mut ranked: Vec<(HostScore, HostId)> =
-        hosts.into_iter().map(|host| (HostScore::of(key, host), host)).collect();
+    let mut ranked: Vec<(RendezvousScore, HostId)> =
+        hosts.into_iter().map(|host| (RendezvousScore::of(key, host), host)).collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
     ranked.into_iter().map(|(_, host)| host).collect()
 }
--- a/crates/decisions/src/sessions/position_store.rs
+++ b/crates/decisions/src/sessions/position_store.rs
@@ -1,7 +1,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::position_hosts::HostScore;
+use super::position_hosts::RendezvousScore;
 use crate::{
     identity::{GroupName, HostId, SessionId},
     positions::LogPosition,
@@ -27,7 +27,7 @@
     mark: LogPosition,
     /// Score of the last of the session's keepers. A host that joins or leaves
     /// changes the keepers if its own score is not below this.
-    lowest_score: Option<HostScore>,
+    lowest_score: Option<RendezvousScore>,
 }
 
 /// Positions that this host stores for sessions, in memory only.
@@ -44,7 +44,7 @@
     pub fn raise(&mut self, stored: StoredPosition, keepers: &[HostId]) {
         let StoredPosition { session, group, position: mark } = stored;
         let key = session.as_str().as_bytes();
-        let lowest_score = keepers.iter().map(|host| HostScore::of(key, *host)).min();
+        let lowest_score = keepers.iter().map(|host| RendezvousScore::of(key, *host)).min();
         let fresh = KeptMark { mark, lowest_score };
         let kept = self.marks.entry((session, group)).or_insert(fresh);
         kept.mark = kept.mark.max(mark);
@@ -63,7 +63,7 @@
     /// or left: a newer position may go to other hosts from now on.
     pub fn remove_moved(&mut self, host: HostId) {
         self.marks.retain(|(session, _), kept| {
-            let score = HostScore::of(session.as_str().as_bytes(), host);
+            let score = RendezvousScore::of(session.as_str().as_bytes(), host);
             kept.lowest_score.is_some_and(|lowest| score < lowest)
         });
     }
--- a/crates/decisions/tests/control_world/mod.rs
+++ b/crates/decisions/tests/control_world/mod.rs
@@ -89,7 +89,7 @@
             bootstrap,
             election_timeout: Duration::from_millis(500),
             heartbeat_interval: Duration::from_millis(125),
-            lease: Duration::from_millis(3_500),
+            lease_duration: Duration::from_millis(3_500),
             announcement_lifetime: Duration::from_secs(12),
             // The decisions mix in the host's number; equal sums would make hosts
             // draw the same election timeouts for ever.
@@ -155,7 +155,8 @@
 
     /// All hosts that lead and can prove it: more than one is a fault.
     pub fn leaders(&self) -> impl Iterator<Item = HostId> + '_ {
-        let leads = |id: &HostId| self.host(*id).is_some_and(|host| host.is_current(self.now));
+        let leads =
+            |id: &HostId| self.host(*id).is_some_and(|host| host.is_current_leader(self.now));
         self.hosts.keys().copied().filter(leads)
     }
 
--- a/crates/decisions/tests/schedule/schedule_run.rs
+++ b/crates/decisions/tests/schedule/schedule_run.rs
@@ -199,7 +199,7 @@
             draining: false,
         },
         voters: (0..voters as u32).map(HostId).collect(),
-        lease: Duration::from_millis(600),
+        lease_duration: Duration::from_millis(600),
         lease_renewal: Duration::from_millis(150),
         suspect_after: Duration::from_millis(400),
         stall_after: Duration::from_millis(1_500),
@@ -395,7 +395,7 @@
             }
             HostEffect::Answer { ticket, answer } => self.answered(ticket, answer),
             HostEffect::AnnouncementRefused { .. }
-            | HostEffect::Draining(_)
+            | HostEffect::SetDraining(_)
             | HostEffect::Log(_) => {}
         }
     }
@@ -457,7 +457,10 @@
                 let name = database_name(database);
                 match status {
                     Some(status) => {
-                        self.step(host, HostEvent::Reported { database: name, sent_at, status });
+                        self.step(
+                            host,
+                            HostEvent::DatabaseReported { database: name, sent_at, status },
+                        );
                     }
                     None => self.step(host, HostEvent::ReportFailed(name)),
                 }
@@ -578,7 +581,7 @@
         let CallerOperation { session, number, .. } = self.operations[operation].clone();
         self.verdict.dispatches += 1;
         if self.sabotage == Sabotage::SlowReads && number.is_none() {
-            let report = ExecutionReport::Lost;
+            let report = ExecutionReport::ConnectionLost;
             let used = self.now - self.operations[operation].sent_at;
             let delay = (2_000 * MILLI).saturating_sub(used).max(500);
             let failed = Action::Executed { host, request, report, found: 0, epoch };
@@ -591,7 +594,7 @@
             return self.after(5 * MILLI, failed);
         }
         if fake.cut_from_hosts || self.cut_paths.contains(&(host, database)) {
-            let report = ExecutionReport::Lost;
+            let report = ExecutionReport::ConnectionLost;
             let failed = Action::Executed { host, request, report, found: 0, epoch };
             return self.after(EXECUTION_TIMEOUT, failed);
         }
@@ -607,7 +610,7 @@
         // The answer of one in fifty is lost on the way.
         let lost = self.rng.random_range(0..50) == 0;
         let (report, delay) = match lost {
-            true => (ExecutionReport::Lost, 30 * MILLI),
+            true => (ExecutionReport::ConnectionLost, 30 * MILLI),
             false => (report, self.delay()),
         };
         self.after(delay, Action::Executed { host, request, report, found, epoch });
--- a/crates/lab/src/slopes/decision_slopes.rs
+++ b/crates/lab/src/slopes/decision_slopes.rs
@@ -57,7 +57,7 @@
         let settings = HostSettings {
             record: host_record(1)?,
             voters: [HostId(1)].into(),
-            lease: Duration::from_secs(3_600),
+            lease_duration: Duration::from_secs(3_600),
             lease_renewal: Duration::from_secs(1),
             suspect_after: Duration::from_millis(400),
             stall_after: Duration::from_millis(1_500),
