--- a/crates/cli/src/commands/execution.rs
+++ b/crates/cli/src/commands/execution.rs
@@ -1,7 +1,7 @@
 use std::{path::Path, sync::Arc, time::Duration};
 
 use hawthornstack_decisions::{
-    control::{AuditRecord, Declaration, Intent, verify_chain},
+    control_state::{AuditRecord, Declaration, Intent, verify_chain},
     identity::{DatabaseName, HostId},
     outcomes::ResultCode,
 };
@@ -190,6 +190,6 @@
     };
     println!("{} {:?}: {}", code.number(), code, code.text());
     println!("Outcome: {:?}; SQLSTATE {}", code.outcome(), code.sqlstate());
-    println!("{}", code.mend());
+    println!("{}", code.remedy());
     Ok(())
 }
--- a/crates/daemon/src/control/status_pages.rs
+++ b/crates/daemon/src/control_role/status_pages.rs
@@ -1,6 +1,6 @@
 use hawthornstack_decisions::{
     clock::Moment,
-    control_host::ControlHost,
+    control_role::ControlHost,
     identity::{DataCentre, DatabaseName, GroupName, HostId, NameError},
     instances::{InstanceRecord, InstanceRole},
     primaries::{ServiceTerm, TermPhase},
@@ -31,7 +31,7 @@
     Ok(StatusResponse {
         host: me,
         leader: agreement.leader(),
-        is_current_leader: control_host.is_current(now),
+        is_current_leader: control_host.is_current_leader(now),
         has_lease: is_connected,
         version: control.routes_version(),
         applied: control.applied,
@@ -47,7 +47,7 @@
         TermPhase::Fencing { .. } => "fencing",
         TermPhase::Promoting { .. } => "promoting",
     };
-    let members = control_host.directory().of_service(&term.service).map(member_status);
+    let members = control_host.directory().instances_of_service(&term.service).map(member_status);
     Ok(GroupStatus {
         group: GroupName::new(&term.service)?,
         term: term.number,
--- a/crates/daemon/src/callers/forward_store.rs
+++ b/crates/daemon/src/pg_callers/forward_store.rs
@@ -5,12 +5,12 @@
 };
 
 use hawthornstack_decisions::{
-    host::HomeAddress,
     identity::{GroupName, HostId},
+    pg_host::GatewayAddress,
 };
 use tokio::time::Instant;
 
-use crate::upstreams::{UpstreamConnection, UpstreamError};
+use crate::pg_upstreams::{UpstreamConnection, UpstreamError};
 
 /// Idle connections kept to all homes together.
 const MAX_IDLE: usize = 256;
@@ -38,7 +38,7 @@
     }
 
     /// Puts homes that failed a moment ago last.
-    pub(super) fn order(&self, homes: &mut [HomeAddress]) {
+    pub(super) fn order(&self, homes: &mut [GatewayAddress]) {
         self.with(|state| {
             homes.sort_by_key(|home| {
                 let failed_at = state.failed_at.get(&home.host);
@@ -53,7 +53,7 @@
 
     pub(super) async fn check_out(
         &self,
-        home: &HomeAddress,
+        home: &GatewayAddress,
         group: &GroupName,
     ) -> Result<UpstreamConnection, UpstreamError> {
         let key = (home.host, group.clone());
--- a/crates/daemon/src/callers/request_runner.rs
+++ b/crates/daemon/src/pg_callers/request_runner.rs
@@ -2,9 +2,9 @@
 
 use bytes::BytesMut;
 use hawthornstack_decisions::{
-    host::{Conclusion, ExecutionReport},
     identity::DatabaseName,
     outcomes::ResultCode,
+    pg_host::{ExecutionReport, RequestResult},
     requests::{RequestArrival, RequestKind},
 };
 use hawthornstack_wire::reports::POSITION_STATEMENT;
@@ -20,8 +20,8 @@
     transaction::{OpenTransaction, TransactionPlace},
 };
 use crate::{
-    host::{RequestHandle, RequestSignal},
-    upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_query},
+    pg_host::{RequestHandle, RequestSignal},
+    pg_upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_query},
 };
 
 /// SQLSTATE of a database that does not accept writes.
@@ -60,8 +60,12 @@
 impl RunEnd {
     /// The end that the host's conclusion means for a held answer; the session
     /// takes its mark.
-    pub(super) fn of(conclusion: &Conclusion, held: AnswerWriter, state: &mut CallerState) -> Self {
-        state.mark = state.mark.max(conclusion.mark.unwrap_or_default());
+    pub(super) fn of(
+        conclusion: &RequestResult,
+        held: AnswerWriter,
+        state: &mut CallerState,
+    ) -> Self {
+        state.mark = state.mark.max(conclusion.session_position.unwrap_or_default());
         match (conclusion.result, conclusion.retry_after) {
             (ResultCode::Done, _) => Self::Answered(held),
             (code, Some(wait)) => Self::Busy(code, wait),
@@ -148,7 +152,7 @@
             request: self.context.numbers.next(),
             group: state.group.clone(),
             kind,
-            mark: state.mark_source(),
+            position_source: state.mark_source(),
             session: state.named.then(|| state.session.clone()),
             transaction: false,
             caller: state.user.clone(),
@@ -223,7 +227,7 @@
                         handle.report(ExecutionReport::NotRun);
                         continue;
                     };
-                    let aged = matches!(kind, RequestKind::AgedRead(_));
+                    let aged = matches!(kind, RequestKind::BoundedStaleness(_));
                     let performed = tokio::select! {
                         () = self.cancel.notify.notified() => {
                             handle.report(ExecutionReport::RolledBack);
@@ -340,7 +344,7 @@
                 self.conclude(state, handle).await.map(|()| answer)
             }
             _ => {
-                handle.report(ExecutionReport::Lost);
+                handle.report(ExecutionReport::ConnectionLost);
                 match self.conclude(state, handle).await {
                     Ok(()) => Err(ResultCode::ConnectionLost),
                     Err(code) => Err(code),
@@ -358,7 +362,7 @@
         let mut handle = handle;
         loop {
             if let RequestSignal::Conclude(conclusion) = handle.next().await {
-                state.mark = state.mark.max(conclusion.mark.unwrap_or_default());
+                state.mark = state.mark.max(conclusion.session_position.unwrap_or_default());
                 return match conclusion.result {
                     ResultCode::Done => Ok(()),
                     code => Err(code),
@@ -376,10 +380,10 @@
 ) -> (ExecutionReport, Option<AnswerWriter>) {
     let done = match performed {
         Ok(done) if done.segment.status == b'I' => done,
-        Ok(_) => return (ExecutionReport::Lost, None),
+        Ok(_) => return (ExecutionReport::ConnectionLost, None),
         Err(error) => {
             log::debug!(target: "upstreams", "A request failed: {error}.");
-            return (ExecutionReport::Lost, None);
+            return (ExecutionReport::ConnectionLost, None);
         }
     };
     let writes = kind == RequestKind::Write;
@@ -388,7 +392,7 @@
     }
     let report = match (writes && !done.segment.failed, done.position) {
         (true, Some(position)) => ExecutionReport::Written(position),
-        (true, None) => ExecutionReport::Lost,
+        (true, None) => ExecutionReport::ConnectionLost,
         (false, position) => ExecutionReport::Read(position),
     };
     (report, Some(done.answer))
--- a/crates/daemon/src/operators/operator_routes.rs
+++ b/crates/daemon/src/pg_operators/operator_routes.rs
@@ -8,11 +8,11 @@
     routing::{get, post},
 };
 use hawthornstack_decisions::{
-    control::ControlAnswer,
+    control_state::ConfirmationResult,
     directory::Announcement,
-    host::{HostEvent, OperatorAnswer, OperatorQuestion},
     identity::HostId,
     outcomes::ResultCode,
+    pg_host::{HostEvent, OperatorAnswer, OperatorQuestion},
 };
 use hawthornstack_wire::operators::{
     ANNOUNCE_PATH, AUDIT_PATH, CONFIRM_PATH, ConfirmRequest, ConfirmResponse, ErrorResponse,
@@ -25,7 +25,7 @@
 };
 use tokio_util::sync::CancellationToken;
 
-use crate::{host::HostMessage, metrics::DaemonMetrics};
+use crate::{metrics::DaemonMetrics, pg_host::HostMessage};
 
 /// Time for the host to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
@@ -60,7 +60,7 @@
     let body = ErrorResponse {
         code: code.number(),
         text: text.to_owned(),
-        mend: code.mend().to_owned(),
+        mend: code.remedy().to_owned(),
         leader,
     };
     (status, Json(body)).into_response()
@@ -129,7 +129,7 @@
     }
 }
 
-fn confirmation(answer: ControlAnswer) -> Response {
+fn confirmation(answer: ConfirmationResult) -> Response {
     let status = match answer.result {
         ResultCode::Done => StatusCode::OK,
         _ => StatusCode::CONFLICT,
--- a/crates/daemon/src/settings/daemon_settings.rs
+++ b/crates/daemon/src/settings/daemon_settings.rs
@@ -7,9 +7,9 @@
 };
 
 use hawthornstack_decisions::{
-    control::HostRecord,
-    host::HostSettings,
+    control_state::HostRecord,
     identity::{DataCentre, HostId},
+    pg_host::HostSettings,
 };
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
@@ -260,11 +260,11 @@
                 draining: false,
             },
             voters: self.control.voters.iter().map(|voter| voter.id).collect(),
-            lease: self.control.lease,
+            lease_duration: self.control.lease,
             lease_renewal: self.control.renewal,
             suspect_after: self.failover.suspect_after,
             stall_after: self.failover.stall_after,
-            homes_per_group: self.groups.homes,
+            gateways_per_group: self.groups.homes,
             election_timeout: self.control.election_timeout,
             heartbeat_interval: self.control.heartbeat,
             seed,
--- a/crates/decisions/src/agreement/election.rs
+++ b/crates/decisions/src/agreement/election.rs
@@ -4,7 +4,7 @@
     AgreementEffect, AgreementMessage, AgreementState, EntryPayload, VoteReply, VoteRequest,
     agreement_state::{AgreementRole, FollowerProgress, LeaderState},
 };
-use crate::{clock::Moment, control::ControlCommand, identity::HostId};
+use crate::{clock::Moment, control_state::ControlCommand, identity::HostId};
 
 /// Pre-votes that a host without a leader holds in one election timeout.
 const PRE_VOTES_PER_TIMEOUT: u32 = 4;
@@ -184,7 +184,7 @@
 
     pub(super) fn leave_role(&mut self, now: Moment) {
         if self.is_leader() {
-            self.effects.push(AgreementEffect::Deposed);
+            self.effects.push(AgreementEffect::SteppedDown);
             self.leader = None;
             self.reset_election(now);
         }
--- a/crates/decisions/src/control_host/control_event.rs
+++ b/crates/decisions/src/control_role/control_event.rs
@@ -36,7 +36,7 @@
     /// No configuration was given yet.
     NoRoutes,
     /// Another host leads.
-    Elsewhere(HostId),
+    NotLeader(HostId),
     /// This host cannot tell; ask again.
     Unavailable,
 }
@@ -85,7 +85,7 @@
         result: PromoteResult,
     },
     /// An operator asks.
-    Ordered {
+    OperatorOrdered {
         /// Number of the order on this host.
         ticket: u64,
         /// The order.
@@ -93,19 +93,19 @@
     },
 }
 
-/// A fact worth a line in the log.
+/// An event that is written to the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ControlNote {
+pub enum ControlLogEvent {
     /// This host leads from this term on.
-    Leads(u64),
-    /// This host leads no longer.
-    LeadsNoMore,
+    LeadershipGained(u64),
+    /// This host no longer leads.
+    LeadershipLost,
     /// The voters changed.
-    Voters(Vec<HostId>),
+    VotersChanged(Vec<HostId>),
     /// A configuration is in force.
-    Routes(u64),
+    RoutesReplaced(u64),
     /// The primary of a service, or what is done about it, changed.
-    Term {
+    TermChanged {
         /// The service.
         service: Arc<str>,
         /// Count of changes.
@@ -114,7 +114,7 @@
         what: Arc<str>,
     },
     /// A database appeared or changed.
-    Instance {
+    InstanceChanged {
         /// The database.
         key: InstanceKey,
         /// What happened, in words.
@@ -158,6 +158,6 @@
     },
     /// Answer an order.
     Answer(u64, OrderAnswer),
-    /// Write a line to the log.
-    Note(ControlNote),
+    /// Write an event to the log.
+    Log(ControlLogEvent),
 }
--- a/crates/decisions/src/control_host/order_flow.rs
+++ b/crates/decisions/src/control_role/order_flow.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
 use super::{ControlEffect, ControlHost, OperatorOrder, OrderAnswer};
-use crate::{clock::Moment, control::ControlCommand, routes::RouteTable};
+use crate::{clock::Moment, control_state::ControlCommand, routes::RouteTable};
 
 /// An order whose command is not committed yet.
 #[derive(Debug)]
@@ -15,12 +15,12 @@
     pub(super) fn ordered(&mut self, now: Moment, ticket: u64, order: OperatorOrder) {
         if !self.agreement.is_leader() {
             let answer = match self.agreement.leader() {
-                Some(leader) => OrderAnswer::Elsewhere(leader),
+                Some(leader) => OrderAnswer::NotLeader(leader),
                 None => OrderAnswer::Unavailable,
             };
             return self.answer(ticket, answer);
         }
-        if !self.is_current(now) {
+        if !self.is_current_leader(now) {
             return self.answer(ticket, OrderAnswer::Unavailable);
         }
         match order {
--- a/crates/decisions/src/host/host_event.rs
+++ b/crates/decisions/src/pg_host/host_event.rs
@@ -19,7 +19,7 @@
     /// Nothing ran at the database, and nothing will.
     NotRun,
     /// The connection was lost; it may have run.
-    Lost,
+    ConnectionLost,
 }
 
 /// Input of a host.
@@ -36,7 +36,7 @@
     /// An upstream announced itself here.
     Announced(Announcement),
     /// A database reported; the question was sent at the given time.
-    Reported {
+    DatabaseReported {
         /// The database.
         database: DatabaseName,
         /// When the question was sent.
@@ -54,13 +54,13 @@
         status: DatabaseStatus,
     },
     /// A request needs a database.
-    Arrived(RequestArrival),
+    RequestArrived(RequestArrival),
     /// A request no longer uses its connection.
-    Executed(RequestId, ExecutionReport),
+    RequestExecuted(RequestId, ExecutionReport),
     /// The caller of a request is gone.
-    Abandoned(RequestId),
+    RequestAbandoned(RequestId),
     /// An operator asks.
-    Asked {
+    OperatorAsked {
         /// Number of the question on this host.
         ticket: u64,
         /// The question.
--- a/crates/decisions/src/host/host_settings.rs
+++ b/crates/decisions/src/pg_host/host_settings.rs
@@ -1,6 +1,6 @@
 use std::{collections::BTreeSet, time::Duration};
 
-use crate::{control::HostRecord, identity::HostId};
+use crate::{control_state::HostRecord, identity::HostId};
 
 /// Times and identity of one host.
 #[derive(Debug, Clone)]
@@ -10,7 +10,7 @@
     /// The first voters of the deployment.
     pub voters: BTreeSet<HostId>,
     /// Length of the lease that lets a host serve.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Time between renewals of the lease.
     pub lease_renewal: Duration,
     /// Silence of a primary before this host suspects it.
@@ -18,7 +18,7 @@
     /// Time without progress of replication before the primary is suspected.
     pub stall_after: Duration,
     /// Hosts that hold connections to one group.
-    pub homes_per_group: usize,
+    pub gateways_per_group: usize,
     /// Shortest silence of control's leader before an election.
     pub election_timeout: Duration,
     /// Time between heartbeats of control's leader.
--- a/crates/decisions/src/sessions/keepers.rs
+++ b/crates/decisions/src/sessions/position_hosts.rs
@@ -2,14 +2,14 @@
 
 use crate::identity::{HostId, SessionId};
 
-/// Hosts that keep each session's mark.
-pub const KEEPER_COUNT: usize = 2;
+/// Hosts that store each session's position.
+pub const POSITION_HOST_COUNT: usize = 2;
 
 /// A host's rank for a key by rendezvous hash; the highest win.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct HostScore(u64);
+pub struct RendezvousScore(u64);
 
-impl HostScore {
+impl RendezvousScore {
     /// The score of a host for `key`.
     pub fn of(key: &[u8], host: HostId) -> Self {
         Self(xxh3_64_with_seed(key, u64::from(host.0)))
@@ -20,18 +20,18 @@
 ///
 /// Adding or removing a host moves only the keys that it wins or held.
 pub fn rank_hosts(key: &[u8], hosts: impl IntoIterator<Item = HostId>) -> Vec<HostId> {
-    let mut ranked: Vec<(HostScore, HostId)> =
-        hosts.into_iter().map(|host| (HostScore::of(key, host), host)).collect();
+    let mut ranked: Vec<(RendezvousScore, HostId)> =
+        hosts.into_iter().map(|host| (RendezvousScore::of(key, host), host)).collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
     ranked.into_iter().map(|(_, host)| host).collect()
 }
 
-/// The hosts that keep the marks of `session`.
-pub fn session_keepers(
+/// The hosts that store the positions of `session`.
+pub fn session_position_hosts(
     session: &SessionId,
     hosts: impl IntoIterator<Item = HostId>,
 ) -> Vec<HostId> {
     let mut ranked = rank_hosts(session.as_str().as_bytes(), hosts);
-    ranked.truncate(KEEPER_COUNT);
+    ranked.truncate(POSITION_HOST_COUNT);
     ranked
 }
--- a/crates/decisions/tests/control_world/mod.rs
+++ b/crates/decisions/tests/control_world/mod.rs
@@ -12,7 +12,7 @@
 use hawthornstack_decisions::{
     agreement::JournalRecord,
     clock::Moment,
-    control_host::{
+    control_role::{
         ControlEffect, ControlEvent, ControlHost, ControlSettings, EntryReport, EntryUpdate,
         OperatorOrder, OrderAnswer, PromoteResult,
     },
@@ -84,12 +84,12 @@
     /// Starts a host with what its disk holds.
     pub fn boot(&mut self, id: HostId, bootstrap: bool) {
         let settings = ControlSettings {
-            me: id,
+            host: id,
             seeds: self.seeds.clone(),
             bootstrap,
             election_timeout: Duration::from_millis(500),
             heartbeat_interval: Duration::from_millis(125),
-            lease: Duration::from_millis(3_500),
+            lease_duration: Duration::from_millis(3_500),
             announcement_lifetime: Duration::from_secs(12),
             // The decisions mix in the host's number; equal sums would make hosts
             // draw the same election timeouts for ever.
@@ -155,7 +155,8 @@
 
     /// All hosts that lead and can prove it: more than one is a fault.
     pub fn leaders(&self) -> impl Iterator<Item = HostId> + '_ {
-        let leads = |id: &HostId| self.host(*id).is_some_and(|host| host.is_current(self.now));
+        let leads =
+            |id: &HostId| self.host(*id).is_some_and(|host| host.is_current_leader(self.now));
         self.hosts.keys().copied().filter(leads)
     }
 
@@ -167,7 +168,7 @@
     pub fn order(&mut self, id: HostId, order: OperatorOrder) -> u64 {
         self.count += 1;
         let ticket = self.count;
-        self.step(id, ControlEvent::Ordered { ticket, order });
+        self.step(id, ControlEvent::OperatorOrdered { ticket, order });
         ticket
     }
 
@@ -361,7 +362,7 @@
             ControlEffect::Answer(ticket, answer) => {
                 self.answers.insert(ticket, answer);
             }
-            ControlEffect::Note(_) => {}
+            ControlEffect::Log(_) => {}
         }
     }
 }
--- a/crates/decisions/tests/shared_connections.rs
+++ b/crates/decisions/tests/shared_connections.rs
@@ -3,14 +3,16 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use hawthornstack_decisions::entry::{ConnectionState, PreparedShape, RestoreStep, SessionState};
+use hawthornstack_decisions::entry_role::{
+    ConnectionState, PreparedStatement, RestoreStep, SessionState,
+};
 use proptest::prelude::*;
 
 /// A connection at a database, which carries out what it is told.
 #[derive(Default)]
 struct FakeConnection {
     values: BTreeMap<Arc<str>, Arc<str>>,
-    prepared: BTreeMap<Arc<str>, PreparedShape>,
+    prepared: BTreeMap<Arc<str>, PreparedStatement>,
 }
 
 impl FakeConnection {
@@ -35,8 +37,8 @@
     SessionState { values, ..SessionState::default() }
 }
 
-fn shape(number: u8) -> PreparedShape {
-    PreparedShape { writes: number.is_multiple_of(2), shape: Arc::from(format!("q{number}")) }
+fn shape(number: u8) -> PreparedStatement {
+    PreparedStatement { writes: number.is_multiple_of(2), shape: Arc::from(format!("q{number}")) }
 }
 
 #[test]
--- a/crates/lab/src/slopes/decision_slopes.rs
+++ b/crates/lab/src/slopes/decision_slopes.rs
@@ -7,13 +7,13 @@
 
 use hawthornstack_decisions::{
     clock::Moment,
-    control::{ControlState, Declaration, HostRecord, Intent, ServiceDeclaration},
+    control_state::{ControlState, Declaration, HostRecord, Intent, ServiceDeclaration},
     directory::{Announcement, DatabaseRole},
-    host::{
+    identity::{DataCentre, DatabaseName, GroupName, HostId},
+    pg_host::{
         HostEffect, HostEvent, HostSettings, HostState, LeaseRequest, OperatorAnswer,
         OperatorQuestion, PeerMessage,
     },
-    identity::{DataCentre, DatabaseName, GroupName, HostId},
 };
 
 use super::slope_line::{SlopeLine, SlopePoint};
@@ -57,11 +57,11 @@
         let settings = HostSettings {
             record: host_record(1)?,
             voters: [HostId(1)].into(),
-            lease: Duration::from_secs(3_600),
+            lease_duration: Duration::from_secs(3_600),
             lease_renewal: Duration::from_secs(1),
             suspect_after: Duration::from_millis(400),
             stall_after: Duration::from_millis(1_500),
-            homes_per_group: 3,
+            gateways_per_group: 3,
             election_timeout: Duration::from_millis(300),
             heartbeat_interval: Duration::from_millis(50),
             seed,
@@ -90,7 +90,7 @@
     fn ask(&mut self, question: OperatorQuestion) -> Option<OperatorAnswer> {
         self.tickets += 1;
         let ticket = self.tickets;
-        let effects = self.step(HostEvent::Asked { ticket, question });
+        let effects = self.step(HostEvent::OperatorAsked { ticket, question });
         effects.into_iter().find_map(|effect| match effect {
             HostEffect::Answer { answer, .. } => Some(answer),
             _ => None,
