--- a/crates/daemon/tests/debug_texts.rs
+++ b/crates/daemon/tests/debug_texts.rs
@@ -4,8 +4,8 @@
 use std::{fmt::Debug, sync::Arc, time::Duration};
 
 use hawthornstack_decisions::{
-    control::{AuditRecord, ControlCommand, ControlState, Plan, PlannedChange},
-    control_host::PromoteResult,
+    control_role::PromoteResult,
+    control_state::{AuditRecord, ControlCommand, ControlState, Plan, PlannedChange},
     directory::DatabaseRole,
     failover::DatabaseOrder,
     instances::InstanceRole,
--- a/crates/daemon/tests/outer_texts.rs
+++ b/crates/daemon/tests/outer_texts.rs
@@ -44,7 +44,7 @@
 
 fn code_line(code: ResultCode) -> String {
     let (number, sqlstate, outcome) = (code.number(), code.sqlstate(), code.outcome());
-    format!("{number} | {code:?} | {sqlstate} | {outcome:?} | {} | {}", code.text(), code.mend())
+    format!("{number} | {code:?} | {sqlstate} | {outcome:?} | {} | {}", code.text(), code.remedy())
 }
 
 /// The page with each value replaced; names, texts and labels stay.
--- a/crates/decisions/src/pg_host/host_state.rs
+++ b/crates/decisions/src/pg_host/host_state.rs
@@ -196,7 +196,7 @@
                 self.suspected(now, from, &group, term);
             }
             PeerMessage::TermFenced { group, term } => self.fenced(now, from, &group, term),
-            PeerMessage::MemberReport { group, not_following: astray, caught_up, removable } => {
+            PeerMessage::MemberReport { group, astray, caught_up, removable } => {
                 self.members_reported(now, &group, astray, caught_up, removable);
             }
             PeerMessage::PositionQuery(query) => self.mark_asked(from, query),
--- a/crates/decisions/src/pg_host/peer_message.rs
+++ b/crates/decisions/src/pg_host/peer_message.rs
@@ -107,8 +107,7 @@
         /// The group.
         group: GroupName,
         /// The members that do not follow.
-        #[serde(rename = "astray")]
-        not_following: Vec<DatabaseName>,
+        astray: Vec<DatabaseName>,
         /// Joining members that hold what the primary had when asked.
         caught_up: Vec<DatabaseName>,
         /// Draining members without which a majority holds all that the
--- a/crates/decisions/src/pg_host/report_flow.rs
+++ b/crates/decisions/src/pg_host/report_flow.rs
@@ -178,11 +178,6 @@
         }
         let empty = astray.is_empty() && caught_up.is_empty() && removable.is_empty();
         let group = self.record.name.clone();
-        (!empty).then_some(PeerMessage::MemberReport {
-            group,
-            not_following: astray,
-            caught_up,
-            removable,
-        })
+        (!empty).then_some(PeerMessage::MemberReport { group, astray, caught_up, removable })
     }
 }
