--- a/crates/daemon/src/entry_role/caller_session.rs
+++ b/crates/daemon/src/entry_role/caller_session.rs
@@ -13,58 +13,58 @@
     entry_shared::EntryShared,
     request_trace::{RequestTrace, TraceEnd, TraceStep},
     statement_run::{
-        NoPlace, ROLLBACK_TIMEOUT, RunLimits, RunPlace, encode_statement, find_place, pause_busy,
-        run_at,
+        AssignError, AssignedConnection, ROLLBACK_TIMEOUT, RunLimits, assign_connection,
+        encode_statement, pause_before_retry, run_exchange,
     },
     upstream_link::{AnswerEnd, LinkError, UpstreamAnswer},
 };
 use crate::edges::{CallerRefusal, CallerStatement, SessionPhase, StatementAction, UpstreamCode};
 
-/// Part of a read's time that its first database gets, in percent; the rest is
-/// for another one.
+/// Percentage of a read's remaining time for the first database; the rest is left
+/// for an attempt at another one.
 const FIRST_READ_PERCENT: u32 = 60;
 
-/// What a caller is told.
+/// Reply to a caller's statement.
 pub(super) enum CallerReply {
-    /// The statement needed no database.
+    /// Success without involving a database.
     Done,
-    /// A database's answer, as it came.
+    /// The answer of a database, unchanged.
     Relayed {
-        /// Rows, result and refusal.
+        /// Encoded rows and result or refusal.
         body: Vec<u8>,
-        /// It is a result, not a refusal.
+        /// True for a result, false for a refusal by the database.
         served: bool,
     },
-    /// No result.
+    /// Refused by this host, with a hint for the caller.
     Refused(CallerRefusal, &'static str),
 }
 
-/// How one attempt at a database ended.
+/// Outcome of one attempt at a database.
 enum AttemptEnd {
-    /// The caller gets this.
+    /// Final reply to the caller.
     Reply(CallerReply),
-    /// Nothing ran there; another attempt may.
-    Again,
+    /// Another attempt is safe: the statement did not run, or it is a read.
+    Retry,
 }
 
-/// Whether a statement that a database did not run is tried again.
+/// Whether a statement is tried again after a database refused it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum RetryAdvice {
-    /// The caller gets the database's answer.
+pub(super) enum RetryDecision {
+    /// No retry: the caller gets the database's answer.
     Final,
-    /// Elsewhere, at once.
+    /// Retry immediately, at another database.
     AtOnce,
-    /// After a pause, if there is time for one.
+    /// Retry after a pause, if there is time for one.
     AfterPause,
 }
 
-impl RetryAdvice {
-    /// Pauses if need be; true if another attempt may be made.
-    pub(super) async fn follow(self, shared: &EntryShared, deadline: Instant) -> bool {
+impl RetryDecision {
+    /// Pauses if the decision asks for it; true if another attempt may be made.
+    pub(super) async fn wait_for_retry(self, shared: &EntryShared, deadline: Instant) -> bool {
         match self {
             Self::Final => false,
             Self::AtOnce => true,
-            Self::AfterPause => pause_busy(shared, deadline).await,
+            Self::AfterPause => pause_before_retry(shared, deadline).await,
         }
     }
 }
@@ -74,13 +74,13 @@
     pub(super) shared: Rc<EntryShared>,
     database: Arc<str>,
     pub(super) state: SessionState,
-    pub(super) pinned: Option<RunPlace>,
-    /// The pinned transaction has written.
+    pub(super) pinned: Option<AssignedConnection>,
+    /// True if the pinned transaction has written.
     pub(super) wrote: bool,
-    /// When the caller asked for the session, until its first operation ends:
-    /// a caller that opened it for that operation has waited since then.
+    /// When the caller asked for the session. Its first statement at a database
+    /// counts as waiting since then, as the caller may have connected just for it.
     opened: Option<Moment>,
-    /// Position of the last answer.
+    /// Log position reported with the last answer of a database.
     pub(super) position: Option<LogPosition>,
 }
 
@@ -111,14 +111,14 @@
         self.state.transaction == TransactionPhase::Idle
     }
 
-    /// Time for which an open transaction may wait for its next statement.
+    /// Time for which a pinned transaction may wait for its next statement.
     pub(super) fn idle_limit(&self) -> Option<Duration> {
         self.pinned.as_ref()?;
         let view = self.shared.view.borrow();
         view.routes().map(|table| table.limits.transaction_idle)
     }
 
-    /// Runs one statement.
+    /// Runs one statement, or answers it here if it needs no database.
     pub(super) async fn run(&mut self, statement: &CallerStatement) -> CallerReply {
         let failed = self.state.transaction == TransactionPhase::Failed;
         match &statement.action {
@@ -134,7 +134,7 @@
             _ if failed => {
                 CallerReply::Refused(CallerRefusal::Malformed, "the transaction failed; end it")
             }
-            StatementAction::Begin { read_only } => self.begin(*read_only),
+            StatementAction::Begin { read_only } => self.defer_begin(*read_only),
             StatementAction::Commit if self.is_idle() => {
                 CallerReply::Refused(CallerRefusal::Malformed, "no transaction is open")
             }
@@ -148,16 +148,18 @@
             }
             StatementAction::Deallocate { name } => match self.state.prepared.remove(name) {
                 Some(_) => CallerReply::Done,
-                None => unknown_statement(),
+                None => refuse_unknown_statement(),
             },
             StatementAction::Execute { name, .. } if !self.state.prepared.contains_key(name) => {
-                unknown_statement()
+                refuse_unknown_statement()
             }
             _ => self.run_at_database(statement).await,
         }
     }
 
-    fn begin(&mut self, read_only: bool) -> CallerReply {
+    /// Marks the transaction as begun; the database gets BEGIN with its first
+    /// statement.
+    fn defer_begin(&mut self, read_only: bool) -> CallerReply {
         if !self.is_idle() {
             return CallerReply::Refused(CallerRefusal::Malformed, "a transaction is open");
         }
@@ -209,10 +211,10 @@
         route: Option<&RouteRule>,
         trace: &mut RequestTrace,
     ) -> CallerReply {
-        if let Some(place) = self.pinned.take() {
+        if let Some(connection) = self.pinned.take() {
             let timeout = route.map_or(ROLLBACK_TIMEOUT, |route| route.timeout);
             let deadline = Instant::now() + timeout;
-            return self.run_pinned(place, statement, deadline, trace).await;
+            return self.run_pinned(connection, statement, deadline, trace).await;
         }
         let Some(route) = route else {
             self.state.transaction = TransactionPhase::Idle;
@@ -222,13 +224,15 @@
         let arrived = self.opened.take().unwrap_or_else(|| self.shared.now());
         match self.state.transaction {
             TransactionPhase::Begun { read_only } => {
-                self.run_first(route, statement, read_only, arrived, deadline, trace).await
+                self.run_first_statement(route, statement, read_only, arrived, deadline, trace)
+                    .await
             }
             _ => self.run_single(route, statement, arrived, deadline, trace).await,
         }
     }
 
-    pub(super) fn writes(&self, statement: &CallerStatement) -> bool {
+    /// True if the statement, or the prepared statement that it executes, writes.
+    pub(super) fn is_write(&self, statement: &CallerStatement) -> bool {
         match &statement.action {
             StatementAction::Write => true,
             StatementAction::Execute { name, .. } => {
@@ -247,52 +251,54 @@
         deadline: Instant,
         trace: &mut RequestTrace,
     ) -> CallerReply {
-        let writes = self.writes(statement);
+        let writes = self.is_write(statement);
         let limits = RunLimits {
             route,
             arrived,
             deadline,
             needs_primary: writes,
-            may_move: !writes && route.kind != RouteKind::Primary,
+            may_reroute: !writes && route.kind != RouteKind::Primary,
             writes,
             last_commit: self.state.last_commit,
         };
         let mut tried = Vec::new();
         loop {
-            let place = match find_place(&self.shared, &limits, &mut tried, trace).await {
-                Ok(place) => place,
-                Err(no_place) => return refuse_no_place(no_place),
+            let connection = match assign_connection(&self.shared, &limits, &mut tried, trace).await
+            {
+                Ok(connection) => connection,
+                Err(error) => return refuse_unassigned(error),
             };
-            let end = self.try_single(place, statement, &limits, &mut tried, trace).await;
+            let end = self.try_single(connection, statement, &limits, &mut tried, trace).await;
             match end {
                 AttemptEnd::Reply(reply) => return reply,
-                AttemptEnd::Again if Instant::now() >= deadline => {
+                AttemptEnd::Retry if Instant::now() >= deadline => {
                     return CallerReply::Refused(CallerRefusal::NotRun, "no database had room");
                 }
-                AttemptEnd::Again => {}
+                AttemptEnd::Retry => {}
             }
         }
     }
 
     async fn try_single(
         &mut self,
-        mut place: RunPlace,
+        mut connection: AssignedConnection,
         statement: &CallerStatement,
         limits: &RunLimits<'_>,
         tried: &mut Vec<InstanceKey>,
         trace: &mut RequestTrace,
     ) -> AttemptEnd {
         let mut out = Vec::with_capacity(statement.text.len() + 64);
-        let after = place.after;
-        place.encode_urgency(&self.shared, &mut out);
-        let Some(link) = place.link.link() else {
-            return AttemptEnd::Again;
+        let after = connection.after;
+        connection.encode_urgency(&self.shared, &mut out);
+        let Some(link) = connection.pooled.link() else {
+            return AttemptEnd::Retry;
         };
-        let restoring =
+        let restore_count =
             encode_statement(&self.shared, link, &self.state, statement, after, &mut out);
         let until = attempt_deadline(limits, tried);
-        let result = run_at(&self.shared, &mut place, &out, restoring, until, trace).await;
-        let key = place.link.record().key.clone();
+        let result =
+            run_exchange(&self.shared, &mut connection, &out, restore_count, until, trace).await;
+        let key = connection.pooled.record().key.clone();
         let answer = match result {
             Ok(answer) => answer,
             Err(error) if limits.writes => {
@@ -309,26 +315,27 @@
             }
             Err(_) => {
                 tried.push(key);
-                trace.note(self.shared.now(), TraceStep::Retried { reason: "no answer" });
-                return AttemptEnd::Again;
+                trace.record(self.shared.now(), TraceStep::Retried { reason: "no answer" });
+                return AttemptEnd::Retry;
             }
         };
         if answer.phase != SessionPhase::Idle {
             let hint = "the database's connection is in an unknown state";
             return AttemptEnd::Reply(CallerReply::Refused(CallerRefusal::InDoubt, hint));
         }
-        let advice = self.retry_advice(&place, &answer, !limits.writes, tried);
-        let (number, service) = (place.number, place.service.clone());
+        let decision = self.decide_retry(&connection, &answer, !limits.writes, tried);
+        let (term_number, service) = (connection.term_number, connection.service.clone());
         match answer.end {
-            AnswerEnd::Refused(UpstreamCode::UnknownStatement) => drop(place),
-            _ => place.link.release(),
+            AnswerEnd::Refused(UpstreamCode::UnknownStatement) => drop(connection),
+            _ => connection.pooled.release(),
         }
-        if advice.follow(&self.shared, limits.deadline).await {
-            trace.note(self.shared.now(), TraceStep::Retried { reason: retry_reason(answer.end) });
-            return AttemptEnd::Again;
+        if decision.wait_for_retry(&self.shared, limits.deadline).await {
+            trace
+                .record(self.shared.now(), TraceStep::Retried { reason: retry_reason(answer.end) });
+            return AttemptEnd::Retry;
         }
         if limits.writes && answer.end == AnswerEnd::Done {
-            if !self.accepts(&service, number) {
+            if !self.accepts_answer(&service, term_number) {
                 let hint = "the primary was replaced before it answered";
                 return AttemptEnd::Reply(CallerReply::Refused(CallerRefusal::InDoubt, hint));
             }
@@ -337,48 +344,53 @@
         AttemptEnd::Reply(self.relay(answer))
     }
 
-    /// Notes why a database gave no result, and says whether another attempt may
-    /// be made: always where nothing ran, and once at each database for a read
-    /// that failed.
-    pub(super) fn retry_advice(
+    /// Decides from a database's answer whether another attempt may be made: always
+    /// if nothing ran there, and once at each database for a read that failed.
+    /// Records a replica's lag, and in `tried` the databases to rule out.
+    pub(super) fn decide_retry(
         &self,
-        place: &RunPlace,
+        connection: &AssignedConnection,
         answer: &UpstreamAnswer,
         only_reads: bool,
         tried: &mut Vec<InstanceKey>,
-    ) -> RetryAdvice {
+    ) -> RetryDecision {
         let AnswerEnd::Refused(code) = answer.end else {
-            return RetryAdvice::Final;
+            return RetryDecision::Final;
         };
         match code {
             UpstreamCode::Busy | UpstreamCode::UnknownStatement | UpstreamCode::ReadOnly => {
-                RetryAdvice::AfterPause
+                RetryDecision::AfterPause
             }
             UpstreamCode::Lagging | UpstreamCode::Misrouted => {
-                let key = &place.link.record().key;
-                if let Some(position) = place.after {
+                let key = &connection.pooled.record().key;
+                if let Some(position) = connection.after {
                     let now = self.shared.now();
                     self.shared.view.borrow_mut().loads.record_lag(now, key, position);
                 }
                 tried.push(key.clone());
                 match code {
-                    UpstreamCode::Lagging => RetryAdvice::AtOnce,
-                    _ => RetryAdvice::AfterPause,
+                    UpstreamCode::Lagging => RetryDecision::AtOnce,
+                    _ => RetryDecision::AfterPause,
                 }
             }
-            UpstreamCode::Failed if only_reads && !tried.contains(&place.link.record().key) => {
-                tried.push(place.link.record().key.clone());
-                RetryAdvice::AtOnce
+            UpstreamCode::Failed
+                if only_reads && !tried.contains(&connection.pooled.record().key) =>
+            {
+                tried.push(connection.pooled.record().key.clone());
+                RetryDecision::AtOnce
             }
             UpstreamCode::ConnectionLimit | UpstreamCode::Failed | UpstreamCode::Other => {
-                RetryAdvice::Final
+                RetryDecision::Final
             }
         }
     }
 
-    pub(super) fn accepts(&self, service: &str, number: Option<u64>) -> bool {
+    /// True if a write's answer from the primary of this term may be given to the
+    /// caller.
+    pub(super) fn accepts_answer(&self, service: &str, term_number: Option<u64>) -> bool {
         let view = self.shared.view.borrow();
-        number.is_some_and(|number| view.accepts_answer(self.shared.now(), service, number))
+        term_number
+            .is_some_and(|term_number| view.accepts_answer(self.shared.now(), service, term_number))
     }
 
     pub(super) fn relay(&mut self, answer: UpstreamAnswer) -> CallerReply {
@@ -393,6 +405,7 @@
     }
 }
 
+/// Reason of a retry, for the log and the metrics.
 pub(super) fn retry_reason(end: AnswerEnd) -> &'static str {
     match end {
         AnswerEnd::Refused(code) => code.name(),
@@ -400,7 +413,7 @@
     }
 }
 
-/// Until when one attempt may take; a first read leaves time for a second.
+/// Deadline of one attempt; the first attempt of a read leaves time for a second.
 fn attempt_deadline(limits: &RunLimits<'_>, tried: &[InstanceKey]) -> Instant {
     if limits.writes || !tried.is_empty() {
         return limits.deadline;
@@ -409,14 +422,14 @@
     now + limits.deadline.saturating_duration_since(now) * FIRST_READ_PERCENT / 100
 }
 
-fn unknown_statement() -> CallerReply {
+fn refuse_unknown_statement() -> CallerReply {
     CallerReply::Refused(CallerRefusal::UnknownStatement, "no statement has this name")
 }
 
-pub(super) fn refuse_no_place(no_place: NoPlace) -> CallerReply {
-    let hint = match no_place {
-        NoPlace::NoConnection => "no connection to the database was free; try again at once",
-        NoPlace::NoPrimary => "the primary is being replaced; try again in 500 ms",
+pub(super) fn refuse_unassigned(error: AssignError) -> CallerReply {
+    let hint = match error {
+        AssignError::NoConnection => "no connection to the database was free; try again at once",
+        AssignError::NoPrimary => "the primary is being replaced; try again in 500 ms",
     };
     CallerReply::Refused(CallerRefusal::NotRun, hint)
 }
--- a/crates/daemon/src/entry_role/control_links.rs
+++ b/crates/daemon/src/entry_role/control_links.rs
@@ -16,45 +16,46 @@
 };
 use crate::links::{LinkDialler, host_address};
 
-/// Time between two requests for a lease: a lease outlives six lost ones.
+/// Interval between lease renewals; a lease outlasts six lost renewals.
 const RENEW_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two requests to control hosts that do not lead, which shows
-/// whether their links still work.
-const IDLE_RENEW_INTERVAL: Duration = Duration::from_secs(2);
-/// Silence after which a link to the leader is opened anew.
-const LEADER_SILENCE: Duration = Duration::from_millis(1_200);
-/// Silence after which any link is opened anew.
-const LINK_SILENCE: Duration = Duration::from_secs(5);
-/// Pause before a control host is dialled again: callers wait for the first
-/// control host that is back after a loss of all.
+/// Interval between renewals sent to control hosts that are not the leader, to
+/// check that their links still work.
+const FOLLOWER_RENEW_INTERVAL: Duration = Duration::from_secs(2);
+/// Time without an update after which the link to the leader is reopened.
+const LEADER_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time without an update after which any other link is reopened.
+const LINK_SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause before a control host is dialled again. It is short because after a loss
+/// of all control hosts callers wait for the first one to return.
 const REDIAL_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for writes to end before a planned change of primary goes on.
-const PLANNED_DRAIN: Duration = Duration::from_millis(400);
+/// Longest wait for open writes before a planned change of primary is confirmed.
+const PLANNED_DRAIN_TIMEOUT: Duration = Duration::from_millis(400);
 
 enum LinkEvent {
     Opened(HostId),
     Closed(HostId),
     Update(HostId, EntryUpdate),
-    /// Index that this host may say it has applied.
+    /// Index of a state that this host may report as applied.
     Applied(u64),
 }
 
 struct ControlLink {
-    frames: mpsc::UnboundedSender<EntryReport>,
+    reports: mpsc::UnboundedSender<EntryReport>,
     is_open: bool,
-    heard_at: Instant,
-    asked_at: Instant,
+    last_received_at: Instant,
+    last_renewed_at: Instant,
 }
 
-/// Keeps a link to every control host, renews the lease and takes what control
-/// says.
+/// Maintains a link to every control host, renews the lease and applies the updates
+/// that the control hosts send.
 pub(super) struct ControlLinks {
     shared: Rc<EntryShared>,
     links: BTreeMap<HostId, ControlLink>,
     leader: Option<HostId>,
     events: mpsc::UnboundedSender<LinkEvent>,
-    /// Applied, and drained where that was asked for.
-    confirmed: u64,
+    /// Index of the newest state that is applied and, where it starts a planned
+    /// change of primary, drained of writes.
+    confirmed_index: u64,
 }
 
 impl ControlLinks {
@@ -65,19 +66,20 @@
     ) {
         let (events, mut received) = mpsc::unbounded_channel();
         let seeds = shared.settings.seeds.clone();
-        let mut links = Self { shared, links: BTreeMap::new(), leader: None, events, confirmed: 0 };
+        let mut links =
+            Self { shared, links: BTreeMap::new(), leader: None, events, confirmed_index: 0 };
         links.dial_all(&seeds);
         let mut renew_at = Instant::now();
         loop {
             tokio::select! {
                 biased;
-                Some(event) = received.recv() => links.take(event),
-                Some(report) = reports.recv() => links.send_leader(&report),
+                Some(event) = received.recv() => links.apply_event(event),
+                Some(report) = reports.recv() => links.send_to_leader(&report),
                 () = sleep_until(renew_at) => {
                     renew_at = Instant::now() + RENEW_INTERVAL;
                     links.renew_all();
-                    links.shared.tend_pools();
-                    links.shared.measure();
+                    links.shared.trim_pools();
+                    links.shared.update_gauges();
                 }
             }
         }
@@ -92,24 +94,26 @@
     }
 
     fn dial(&mut self, host: HostId) {
-        let (frames, queued) = mpsc::unbounded_channel();
+        let (reports, queued) = mpsc::unbounded_channel();
         let now = Instant::now();
-        self.links
-            .insert(host, ControlLink { frames, is_open: false, heard_at: now, asked_at: now });
+        self.links.insert(
+            host,
+            ControlLink { reports, is_open: false, last_received_at: now, last_renewed_at: now },
+        );
         let (shared, events) = (self.shared.clone(), self.events.clone());
         let tasks = shared.tasks.clone();
         tasks.spawn_local(async move {
             let cancel = shared.cancel.clone();
-            let _ = cancel.run_until_cancelled(keep_link(&shared, host, queued, &events)).await;
+            let _ = cancel.run_until_cancelled(maintain_link(&shared, host, queued, &events)).await;
         });
     }
 
-    fn take(&mut self, event: LinkEvent) {
+    fn apply_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Opened(host) => {
                 if let Some(link) = self.links.get_mut(&host) {
                     link.is_open = true;
-                    link.heard_at = Instant::now();
+                    link.last_received_at = Instant::now();
                 }
                 self.renew(host);
             }
@@ -124,20 +128,20 @@
             }
             LinkEvent::Update(host, update) => {
                 if let Some(link) = self.links.get_mut(&host) {
-                    link.heard_at = Instant::now();
+                    link.last_received_at = Instant::now();
                 }
-                self.updated(host, update);
+                self.apply_update(host, update);
             }
             LinkEvent::Applied(index) => {
-                if index > self.confirmed {
-                    self.confirmed = index;
+                if index > self.confirmed_index {
+                    self.confirmed_index = index;
                     self.renew_leader();
                 }
             }
         }
     }
 
-    fn updated(&mut self, host: HostId, update: EntryUpdate) {
+    fn apply_update(&mut self, host: HostId, update: EntryUpdate) {
         let shared = self.shared.clone();
         let now = shared.now();
         match update {
@@ -150,21 +154,24 @@
                     entry_hosts,
                 );
             }
-            EntryUpdate::NotLeader { leader } => return self.leader_named(host, leader),
+            EntryUpdate::NotLeader { leader } => return self.follow_named_leader(host, leader),
             EntryUpdate::State { index, routes, terms } => {
                 self.leader = Some(host);
                 let routes = match routes.map(|packed| packed.unpack()).transpose() {
                     Ok(routes) => routes.map(Arc::new),
                     Err(error) => {
-                        // The next renewal asks for it again.
-                        tracing::error!(target: "entry", %error, "configuration not read");
+                        tracing::error!(
+                            target: "entry",
+                            %error,
+                            "failed to unpack the configuration; the next renewal requests it again"
+                        );
                         return;
                     }
                 };
-                let planned = newly_planned(&shared, &terms);
+                let planned = find_newly_planned(&shared, &terms);
                 let newer = shared.view.borrow_mut().apply_state(index, routes, terms);
                 if newer {
-                    self.confirm(index, planned);
+                    self.confirm_applied(index, planned);
                 }
             }
             EntryUpdate::Hosts(hosts) => return self.dial_all(&hosts),
@@ -185,9 +192,9 @@
         shared.changed.notify_waiters();
     }
 
-    /// Says that a state is applied; after the start of a planned change only
-    /// once the writes under way have ended.
-    fn confirm(&mut self, index: u64, planned: Vec<ServiceTerm>) {
+    /// Confirms that a state is applied. If it starts a planned change of primary,
+    /// waits until the open writes have ended, for `PLANNED_DRAIN_TIMEOUT` at most.
+    fn confirm_applied(&mut self, index: u64, planned: Vec<ServiceTerm>) {
         let (shared, events) = (self.shared.clone(), self.events.clone());
         if planned.is_empty() {
             let _ = events.send(LinkEvent::Applied(index));
@@ -195,7 +202,7 @@
         }
         let tasks = shared.tasks.clone();
         tasks.spawn_local(async move {
-            let deadline = Instant::now() + PLANNED_DRAIN;
+            let deadline = Instant::now() + PLANNED_DRAIN_TIMEOUT;
             loop {
                 let changed = shared.changed.notified();
                 let open = planned.iter().any(|t| shared.open_writes(&t.service, t.number) > 0);
@@ -207,19 +214,23 @@
         });
     }
 
-    fn leader_named(&mut self, host: HostId, leader: Option<HostId>) {
+    /// Handles the answer of a control host that is not the leader: dials the
+    /// leader that it names, if any, and renews the lease there.
+    fn follow_named_leader(&mut self, host: HostId, leader: Option<HostId>) {
         match leader {
             Some(leader) if leader != host => self.dial_all(&[leader]),
             _ => {}
         }
         let was_leader = self.leader == Some(host);
-        let is_news = leader.is_some() && leader != self.leader;
-        if was_leader || (self.leader.is_none() && is_news) {
+        let is_new_leader = leader.is_some() && leader != self.leader;
+        if was_leader || (self.leader.is_none() && is_new_leader) {
             self.leader = leader.filter(|leader| *leader != host || !was_leader);
             self.renew_leader();
         }
     }
 
+    /// Sends a renewal to the leader, or to all while it is unknown, and to the
+    /// others after `FOLLOWER_RENEW_INTERVAL`; then reopens silent links.
     fn renew_all(&mut self) {
         let now = Instant::now();
         let due: Vec<HostId> = self
@@ -227,12 +238,12 @@
             .iter()
             .filter(|(host, link)| {
                 let leads = self.leader.is_none_or(|leader| leader == **host);
-                leads || now - link.asked_at >= IDLE_RENEW_INTERVAL
+                leads || now - link.last_renewed_at >= FOLLOWER_RENEW_INTERVAL
             })
             .map(|(host, _)| *host)
             .collect();
         due.into_iter().for_each(|host| self.renew(host));
-        self.drop_silent(now);
+        self.redial_silent_links(now);
     }
 
     fn renew_leader(&mut self) {
@@ -246,42 +257,47 @@
         let view = self.shared.view.borrow();
         let report = EntryReport::Renew {
             sent_at: self.shared.now(),
-            applied: self.confirmed,
+            applied: self.confirmed_index,
             routes_version: view.routes_version(),
             leaving: self.shared.stage.get() != ShutdownStage::Serving,
         };
         if let Some(link) = self.links.get_mut(&host).filter(|link| link.is_open) {
-            link.asked_at = Instant::now();
-            // A closed queue means that the link is about to be dialled anew.
-            let _ = link.frames.send(report);
+            link.last_renewed_at = Instant::now();
+            // If the queue is closed, the link is about to be replaced.
+            let _ = link.reports.send(report);
         }
     }
 
-    fn send_leader(&mut self, report: &EntryReport) {
+    /// Sends a report to the leader, or to all open links while it is unknown.
+    fn send_to_leader(&mut self, report: &EntryReport) {
         let links = self.links.iter().filter(|(host, link)| {
             link.is_open && self.leader.is_none_or(|leader| leader == **host)
         });
         for (_, link) in links {
-            let _ = link.frames.send(report.clone());
+            let _ = link.reports.send(report.clone());
         }
     }
 
-    /// Opens links anew on which answers stay away.
-    fn drop_silent(&mut self, now: Instant) {
+    /// Replaces links on which no update came within their time limit.
+    fn redial_silent_links(&mut self, now: Instant) {
         let silent: Vec<HostId> = self
             .links
             .iter()
             .filter(|(host, link)| {
                 let limit = match self.leader == Some(**host) {
-                    true => LEADER_SILENCE,
-                    false => LINK_SILENCE,
+                    true => LEADER_SILENCE_TIMEOUT,
+                    false => LINK_SILENCE_TIMEOUT,
                 };
-                link.is_open && now - link.heard_at > limit
+                link.is_open && now - link.last_received_at > limit
             })
             .map(|(host, _)| *host)
             .collect();
         for host in silent {
-            tracing::info!(target: "entry", control = %host, "control host is silent");
+            tracing::info!(
+                target: "entry",
+                control = %host,
+                "no answer from the control host; opening a new link"
+            );
             if self.leader == Some(host) {
                 self.leader = None;
             }
@@ -290,8 +306,8 @@
     }
 }
 
-/// Terms that a new state begins to end by plan.
-fn newly_planned(shared: &EntryShared, terms: &[ServiceTerm]) -> Vec<ServiceTerm> {
+/// Terms that a new state starts to fence for a planned change of primary.
+fn find_newly_planned(shared: &EntryShared, terms: &[ServiceTerm]) -> Vec<ServiceTerm> {
     let view = shared.view.borrow();
     terms
         .iter()
@@ -301,8 +317,9 @@
         .collect()
 }
 
-/// Dials a control host again and again until the queue is replaced.
-async fn keep_link(
+/// Connects to a control host, and reconnects after `REDIAL_PAUSE` whenever the link
+/// fails, until the sender of the queue is dropped because a new link replaces it.
+async fn maintain_link(
     shared: &Rc<EntryShared>,
     host: HostId,
     mut queued: mpsc::UnboundedReceiver<EntryReport>,
@@ -311,7 +328,12 @@
     let mut dialler = LinkDialler::new(host_address(host, shared.settings.link_port));
     while !queued.is_closed() {
         if let Err(error) = serve_link(shared, host, &mut dialler, &mut queued, events).await {
-            tracing::debug!(target: "entry", control = %host, %error, "link to control closed");
+            tracing::debug!(
+                target: "entry",
+                control = %host,
+                %error,
+                "link to the control host failed; reconnecting"
+            );
         }
         if queued.is_closed() || events.send(LinkEvent::Closed(host)).is_err() {
             return;
--- a/crates/daemon/src/entry_role/database_pool.rs
+++ b/crates/daemon/src/entry_role/database_pool.rs
@@ -18,40 +18,40 @@
 };
 use crate::{clock::BootClock, links::host_address, metrics::HostMetrics};
 
-/// Idle time after which a connection beyond the host's share is closed, so
-/// that another host may open one.
-const SURPLUS_IDLE: Duration = Duration::from_millis(800);
-/// Time for which a host keeps a connection beyond its share, which it has after
-/// others joined: long beside the handshake that it costs, short beside the time
-/// that another host may wait.
-const BORROWED_LIFETIME: Duration = Duration::from_millis(600);
-/// Time before a host borrows again: several attempts of a host without any
-/// connection.
-const BORROW_PAUSE: Duration = Duration::from_millis(250);
-/// Time before a database that took no more connections is tried again,
-/// doubled with each further refusal.
-const FULL_PAUSE: Duration = Duration::from_millis(30);
-/// Most doublings of that time.
-const FULL_DOUBLINGS: u32 = 2;
-/// The same for a host that has a connection: it leaves the next place to
-/// those that have none.
-const FULL_PAUSE_WITH_LINK: Duration = Duration::from_millis(1_000);
-
-/// Why no connection was had.
+/// Idle time after which a connection above the host's idle share is closed, so that
+/// another host may open one.
+const SURPLUS_IDLE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Age from which a released connection above the host's share is closed; the share
+/// shrinks when other hosts join. Long compared with the handshake of a connection,
+/// short compared with the time that another host may wait for one.
+const SURPLUS_MAX_AGE: Duration = Duration::from_millis(600);
+/// Pause before a host opens a connection again after it closed one above its
+/// share: long enough for several attempts of a host that has no connection.
+const SURPLUS_REOPEN_PAUSE: Duration = Duration::from_millis(250);
+/// Pause before a host without a connection tries again to open one to a database
+/// that is full; doubled with each further refusal.
+const FULL_RETRY_PAUSE: Duration = Duration::from_millis(30);
+/// Limit for the doublings of `FULL_RETRY_PAUSE`.
+const MAX_FULL_PAUSE_DOUBLINGS: u32 = 2;
+/// The same pause for a host that has a connection already: it leaves the next
+/// free slot to hosts that have none.
+const FULL_RETRY_PAUSE_WITH_LINK: Duration = Duration::from_millis(1_000);
+
+/// Why no connection was acquired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AcquireError {
-    /// The time was up.
+    /// No connection became free before the deadline.
     OutOfTime,
     /// The database cannot be reached.
     Unreachable,
-    /// Another database stands at its address.
+    /// The database at the address is not the expected one.
     Misrouted,
 }
 
 #[derive(Debug)]
 enum PoolOffer {
     Link(Box<UpstreamLink>),
-    /// A connection may be opened.
+    /// The waiter should try again to take or open a connection.
     Retry,
 }
 
@@ -63,33 +63,40 @@
 
 #[derive(Debug)]
 struct PoolState {
+    /// Idle connections, the last used one at the end, and since when each is known
+    /// to be idle.
     idle: Vec<(UpstreamLink, Option<Instant>)>,
+    /// Connections that are open or being opened.
     open: usize,
-    /// Connections that this host opens at most. All hosts together stay within
-    /// what the database takes, but for the moment in which hosts come or go.
+    /// Limit for the connections of this host. The shares of all hosts together
+    /// stay within the connection limit of the database, except while hosts join or
+    /// leave.
     share: usize,
-    /// Connections in use outside transactions.
+    /// Connections in use that are not pinned to a transaction.
     running: usize,
     window: InflightWindow,
-    /// In order of arrival.
+    /// Waiting statements in order of arrival.
     waiters: Vec<PoolWaiter>,
+    /// No connection is opened before this time.
     full_until: Option<Instant>,
+    /// Times that the database was full since a connection was last opened.
     refusals: u32,
 }
 
-/// Connections of this host to one start of a database.
+/// Connections of this host to one database instance; a restarted database is a new
+/// instance with a pool of its own.
 #[derive(Debug)]
 pub(super) struct DatabasePool {
     record: InstanceRecord,
-    /// The host through which it is reached, if not directly.
-    home: Option<HostId>,
+    /// The gateway through which it is reached, if not directly.
+    gateway: Option<HostId>,
     state: RefCell<PoolState>,
 }
 
 impl DatabasePool {
     pub(super) fn new(
         record: &InstanceRecord,
-        home: Option<HostId>,
+        gateway: Option<HostId>,
         hosts: u32,
         share: usize,
     ) -> Rc<Self> {
@@ -104,19 +111,19 @@
             full_until: None,
             refusals: 0,
         };
-        Rc::new(Self { record: record.clone(), home, state: RefCell::new(state) })
+        Rc::new(Self { record: record.clone(), gateway, state: RefCell::new(state) })
     }
 
     pub(super) fn record(&self) -> &InstanceRecord {
         &self.record
     }
 
-    pub(super) fn home(&self) -> Option<HostId> {
-        self.home
+    pub(super) fn gateway(&self) -> Option<HostId> {
+        self.gateway
     }
 
-    /// Sets how many connections this host opens; at least one, so that what it
-    /// has taken can run.
+    /// Sets the limit for the connections of this host; at least one, so that
+    /// statements that it has accepted can run.
     pub(super) fn set_share(&self, share: usize) {
         let mut state = self.state.borrow_mut();
         state.share = share.max(1);
@@ -135,38 +142,44 @@
         deadline: Instant,
     ) -> Result<PooledLink, AcquireError> {
         loop {
-            let has_room = self.has_room();
-            if has_room && let Some(link) = self.take_idle() {
-                return Ok(self.lend(Some(link)));
+            let has_capacity = self.has_capacity();
+            if has_capacity && let Some(link) = self.take_idle() {
+                return Ok(self.check_out(Some(link)));
             }
-            let may_open = if has_room { self.may_open() } else { Err(None) };
+            let may_open = if has_capacity { self.may_open() } else { Err(None) };
             let waits_until = match may_open {
                 Ok(()) => match self.open(shared).await {
                     Ok(link) => return Ok(link),
                     Err(OpenError::Unreachable) => return Err(AcquireError::Unreachable),
                     Err(OpenError::Misrouted) => return Err(AcquireError::Misrouted),
-                    Err(OpenError::Full) => Some(self.note_full()),
+                    Err(OpenError::Full) => Some(self.record_full()),
                 },
                 Err(full_until) => full_until,
             };
-            if let Some(link) = self.wait(statement, waits_until, deadline).await? {
+            if let Some(link) = self.wait_for_offer(statement, waits_until, deadline).await? {
                 return Ok(link);
             }
         }
     }
 
-    /// True if the window lets another statement go to the database.
-    fn has_room(&self) -> bool {
+    /// True if the in-flight window allows another statement at the database.
+    fn has_capacity(&self) -> bool {
         let state = self.state.borrow();
         state.running < state.window.limit()
     }
 
-    fn lend(self: &Rc<Self>, link: Option<UpstreamLink>) -> PooledLink {
+    fn check_out(self: &Rc<Self>, link: Option<UpstreamLink>) -> PooledLink {
         self.state.borrow_mut().running += 1;
-        PooledLink { link, pool: self.clone(), opened_at: None, given_back: false, pinned: false }
+        PooledLink {
+            link,
+            pool: self.clone(),
+            position_at_open: None,
+            released: false,
+            pinned: false,
+        }
     }
 
-    /// Writes why a statement got no connection to the log.
+    /// Logs the state of the pool when a statement got no connection in time.
     pub(super) fn log_exhausted(&self, id: &str) {
         let state = self.state.borrow();
         let full = state.full_until.is_some_and(|until| until > Instant::now());
@@ -185,8 +198,8 @@
         );
     }
 
-    /// Sets the gauges of this database.
-    pub(super) fn measure(&self, metrics: &HostMetrics) {
+    /// Updates the gauges of this database.
+    pub(super) fn update_gauges(&self, metrics: &HostMetrics) {
         let state = self.state.borrow();
         let name = KeyValue::new("database", self.record.key.id.to_string());
         let counts = [
@@ -201,8 +214,8 @@
         metrics.set("hawthornstack_queued_statements", state.waiters.len() as f64, &[name]);
     }
 
-    /// The database answered a statement, or had no room for it.
-    pub(super) fn note_answer(&self, refused: bool) {
+    /// Records that the database answered a statement, or refused it as busy.
+    pub(super) fn record_answer(&self, refused: bool) {
         let mut state = self.state.borrow_mut();
         let running = state.running;
         match refused {
@@ -214,7 +227,7 @@
     fn take_idle(&self) -> Option<UpstreamLink> {
         let mut state = self.state.borrow_mut();
         while let Some((link, _)) = state.idle.pop() {
-            if link.is_quiet() {
+            if link.is_reusable() {
                 return Some(link);
             }
             state.open -= 1;
@@ -222,8 +235,8 @@
         None
     }
 
-    /// Whether a connection may be opened now; if not, when to try again
-    /// without a connection being given back.
+    /// Whether a connection may be opened now; if not, when to try again even if
+    /// none is released until then.
     fn may_open(&self) -> Result<(), Option<Instant>> {
         let state = self.state.borrow();
         if state.open >= state.share {
@@ -237,26 +250,28 @@
 
     async fn open(self: &Rc<Self>, shared: &EntryShared) -> Result<PooledLink, OpenError> {
         self.state.borrow_mut().open += 1;
-        // Counts the connection also if the task ends while it is opened.
-        let mut pooled = self.lend(None);
+        // Dropping this takes the connection off the counts, also if the task is
+        // cancelled while the connection is being opened.
+        let mut pooled = self.check_out(None);
         let protocol = &*shared.upstreams;
-        let address = match self.home {
-            Some(home) => host_address(home, shared.settings.forward_port),
+        let address = match self.gateway {
+            Some(gateway) => host_address(gateway, shared.settings.forward_port),
             None => self.record.address,
         };
         let name = &shared.settings.name;
         let (link, position) = UpstreamLink::open(protocol, &self.record, address, name).await?;
         pooled.link = Some(link);
-        pooled.opened_at = position;
+        pooled.position_at_open = position;
         self.state.borrow_mut().refusals = 0;
         Ok(pooled)
     }
 
-    fn note_full(&self) -> Instant {
+    /// Records that the database is full; returns when to try again.
+    fn record_full(&self) -> Instant {
         let mut state = self.state.borrow_mut();
         let pause = match state.open {
-            0 => FULL_PAUSE * 2u32.pow(state.refusals.min(FULL_DOUBLINGS)),
-            _ => FULL_PAUSE_WITH_LINK,
+            0 => FULL_RETRY_PAUSE * 2u32.pow(state.refusals.min(MAX_FULL_PAUSE_DOUBLINGS)),
+            _ => FULL_RETRY_PAUSE_WITH_LINK,
         };
         let until = Instant::now() + pause;
         state.refusals += 1;
@@ -264,9 +279,9 @@
         until
     }
 
-    /// Waits for a connection that is given back; `None` if it is time to look
-    /// again.
-    async fn wait(
+    /// Waits for a released connection; `None` if the caller should try again to
+    /// take or open one.
+    async fn wait_for_offer(
         self: &Rc<Self>,
         statement: QueuedStatement,
         until: Option<Instant>,
@@ -276,9 +291,9 @@
         {
             let mut state = self.state.borrow_mut();
             state.waiters.retain(|waiter| !waiter.offer.is_closed());
-            // A statement that waits again keeps its place.
-            let place = state.waiters.partition_point(|w| w.statement.arrived <= statement.arrived);
-            state.waiters.insert(place, PoolWaiter { statement, offer });
+            // A statement that waits again keeps its position in the queue.
+            let index = state.waiters.partition_point(|w| w.statement.arrived <= statement.arrived);
+            state.waiters.insert(index, PoolWaiter { statement, offer });
         }
         let wakes = async {
             match until {
@@ -295,14 +310,14 @@
         });
         match outcome.await {
             Err(_) => Err(AcquireError::OutOfTime),
-            Ok(Some(PoolOffer::Link(link))) => Ok(Some(self.lend(Some(*link)))),
+            Ok(Some(PoolOffer::Link(link))) => Ok(Some(self.check_out(Some(*link)))),
             Ok(_) => Ok(None),
         }
     }
 
-    /// Hands a free connection to the waiter whose turn it is, or the news that
-    /// there is room.
-    fn serve_next(&self, link: Option<UpstreamLink>) {
+    /// Hands a free connection to the next waiter, or tells it to try again if there
+    /// is none to hand over. Without a waiter the connection becomes idle.
+    fn offer_to_next_waiter(&self, link: Option<UpstreamLink>) {
         let now = BootClock.now();
         let mut state = self.state.borrow_mut();
         state.waiters.retain(|waiter| !waiter.offer.is_closed());
@@ -312,10 +327,10 @@
         };
         while state.running < state.window.limit() {
             let queue: Vec<QueuedStatement> = state.waiters.iter().map(|w| w.statement).collect();
-            let Some(place) = next_in_queue(&queue, now, Duration::ZERO) else {
+            let Some(index) = next_in_queue(&queue, now, Duration::ZERO) else {
                 break;
             };
-            let waiter = state.waiters.remove(place);
+            let waiter = state.waiters.remove(index);
             match waiter.offer.send(offer) {
                 Ok(()) => return,
                 Err(returned) => offer = returned,
@@ -326,33 +341,35 @@
         }
     }
 
-    /// True if the connection is beyond this host's share and was kept long
-    /// enough.
-    fn is_overdue(&self, link: &UpstreamLink) -> bool {
+    /// True if this host has more connections than its share and this one has
+    /// reached `SURPLUS_MAX_AGE`.
+    fn is_expired_surplus(&self, link: &UpstreamLink) -> bool {
         let state = self.state.borrow();
-        state.open > state.share && link.opened.elapsed() >= BORROWED_LIFETIME
+        state.open > state.share && link.opened_at.elapsed() >= SURPLUS_MAX_AGE
     }
 
-    /// Leaves a borrowed place to hosts that may have none.
-    fn return_borrowed(&self) {
+    /// Takes a closed surplus connection off the count and opens none for a while, so
+    /// that a host without any can take the slot.
+    fn release_surplus_slot(&self) {
         let mut state = self.state.borrow_mut();
         state.open -= 1;
-        state.full_until = Some(Instant::now() + BORROW_PAUSE);
+        state.full_until = Some(Instant::now() + SURPLUS_REOPEN_PAUSE);
         drop(state);
-        self.serve_next(None);
+        self.offer_to_next_waiter(None);
     }
 
-    /// Closes idle connections beyond `share`, or all if the database is gone.
-    pub(super) fn tend(&self, share: usize, gone: bool) {
+    /// Closes connections that are idle for `SURPLUS_IDLE_TIMEOUT` while more than
+    /// `idle_share` are open, or all idle ones if the database is gone.
+    pub(super) fn close_idle(&self, idle_share: usize, gone: bool) {
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
         let open = state.open;
         let mut closed = 0;
-        // The connection that was used last is at the end.
+        // Starts with the connection that has been unused for longest.
         state.idle.retain_mut(|(link, idle_since)| {
             let since = *idle_since.get_or_insert(now);
-            let surplus = open - closed > share && now - since >= SURPLUS_IDLE;
-            let keep = !gone && !surplus && link.is_quiet();
+            let surplus = open - closed > idle_share && now - since >= SURPLUS_IDLE_TIMEOUT;
+            let keep = !gone && !surplus && link.is_reusable();
             closed += usize::from(!keep);
             keep
         });
@@ -360,19 +377,20 @@
     }
 }
 
-/// A connection that is in use; it is closed unless it is given back.
+/// A connection in use; dropping it without `release` closes it.
 #[derive(Debug)]
 pub(super) struct PooledLink {
     link: Option<UpstreamLink>,
     pool: Rc<DatabasePool>,
-    /// Position of the database, if the connection was opened for this use.
-    pub(super) opened_at: Option<LogPosition>,
-    given_back: bool,
+    /// Position that the database reported, if the connection was opened for this
+    /// use.
+    pub(super) position_at_open: Option<LogPosition>,
+    released: bool,
     pinned: bool,
 }
 
 impl PooledLink {
-    /// The connection; `None` only while it is opened.
+    /// The connection; `None` only while it is being opened.
     pub(super) fn link(&mut self) -> Option<&mut UpstreamLink> {
         self.link.as_mut()
     }
@@ -381,40 +399,40 @@
         self.pool.record()
     }
 
-    /// The host through which the database is reached, if not directly.
-    pub(super) fn home(&self) -> Option<HostId> {
-        self.pool.home
+    /// The gateway through which the database is reached, if not directly.
+    pub(super) fn gateway(&self) -> Option<HostId> {
+        self.pool.gateway
     }
 
-    /// The connection belongs to a transaction from now on: it no longer
-    /// counts as running while the transaction waits.
+    /// Pins the connection to a transaction: it no longer counts as running, so that
+    /// it takes up no part of the window while the transaction waits.
     pub(super) fn pin(&mut self) {
         if !self.pinned {
             self.pinned = true;
             self.pool.state.borrow_mut().running -= 1;
-            self.pool.serve_next(None);
+            self.pool.offer_to_next_waiter(None);
         }
     }
 
-    /// The database answered a statement, or had no room for it.
-    pub(super) fn note_answer(&self, refused: bool) {
-        self.pool.note_answer(refused);
+    /// Records that the database answered a statement, or refused it as busy.
+    pub(super) fn record_answer(&self, refused: bool) {
+        self.pool.record_answer(refused);
     }
 
-    /// Gives the connection back for other sessions.
+    /// Returns the connection to the pool.
     pub(super) fn release(mut self) {
         let Some(link) = self.link.take() else {
             return;
         };
-        self.given_back = true;
-        self.leave();
-        match self.pool.is_overdue(&link) {
-            true => self.pool.return_borrowed(),
-            false => self.pool.serve_next(Some(link)),
+        self.released = true;
+        self.decrement_running();
+        match self.pool.is_expired_surplus(&link) {
+            true => self.pool.release_surplus_slot(),
+            false => self.pool.offer_to_next_waiter(Some(link)),
         }
     }
 
-    fn leave(&self) {
+    fn decrement_running(&self) {
         if !self.pinned {
             self.pool.state.borrow_mut().running -= 1;
         }
@@ -423,10 +441,10 @@
 
 impl Drop for PooledLink {
     fn drop(&mut self) {
-        if !self.given_back {
-            self.leave();
+        if !self.released {
+            self.decrement_running();
             self.pool.state.borrow_mut().open -= 1;
-            self.pool.serve_next(None);
+            self.pool.offer_to_next_waiter(None);
         }
     }
 }
--- a/crates/daemon/src/entry_role/entry_host.rs
+++ b/crates/daemon/src/entry_role/entry_host.rs
@@ -19,24 +19,26 @@
     metrics::HostMetrics,
 };
 
-/// Time after which no new callers come to a host that says it is not ready:
-/// two readiness probes of a second each, and one on its way.
+/// Time until no new callers are sent to a host that reports not ready: two
+/// readiness probes of one second each, and one already under way.
 const LEAVING_TIME: Duration = Duration::from_millis(2_300);
-/// Time at the end of the grace period that is left for the process to end.
+/// Part of the grace period that is reserved for the process to exit.
 const EXIT_MARGIN: Duration = Duration::from_millis(800);
-/// Time between two looks at what is still open while the host stops.
-const CLOSING_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between checks for open sessions during shutdown.
+const CLOSING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A running entry host. Its tasks live on the current thread's local set.
+/// A running entry host. Its tasks run on the current thread's `LocalSet`.
 pub struct EntryHost {
     shared: Rc<EntryShared>,
 }
 
 impl EntryHost {
-    /// Listens for callers and looks for control.
+    /// Starts listening for callers and other entry hosts, and connects to the
+    /// control hosts.
     ///
     /// # Errors
-    /// The system's error if the callers' address cannot be listened on.
+    /// The error of the operating system if one of the two listeners cannot be
+    /// bound.
     pub fn start(
         settings: EntrySettings,
         callers: Box<dyn CallerProtocol>,
@@ -64,7 +66,8 @@
         Ok(Self { shared })
     }
 
-    /// True if callers may be sent here.
+    /// True if the host is not shutting down, has a configuration and holds a
+    /// lease, so that new callers may be sent to it.
     pub fn is_ready(&self) -> bool {
         let view = self.shared.view.borrow();
         self.shared.stage.get() == ShutdownStage::Serving
@@ -72,42 +75,49 @@
             && view.has_lease(self.shared.now())
     }
 
-    /// Serves on without new callers, closes sessions between statements, and
-    /// returns when nothing is open or the grace period is nearly over.
+    /// Reports not ready, then closes sessions between statements: those without
+    /// a transaction first, all of them after half of the grace period. Returns
+    /// when no session is open or the grace period is nearly over.
     pub async fn shut_down(&self) {
         let began = Instant::now();
         let grace = self.shared.settings.grace;
         let end = began + grace.saturating_sub(EXIT_MARGIN);
-        self.enter(ShutdownStage::Leaving);
+        self.enter_stage(ShutdownStage::Leaving);
         sleep(LEAVING_TIME.min(grace / 2)).await;
-        self.enter(ShutdownStage::ClosingIdle);
+        self.enter_stage(ShutdownStage::ClosingIdle);
         let all_at = began + grace / 2;
-        self.wait_until(all_at).await;
-        self.enter(ShutdownStage::ClosingAll);
-        self.wait_until(end).await;
+        self.wait_for_sessions(all_at).await;
+        self.enter_stage(ShutdownStage::ClosingAll);
+        self.wait_for_sessions(end).await;
         self.shared.cancel.cancel();
         self.shared.tasks.close();
-        let _ = timeout(CLOSING_INTERVAL, self.shared.tasks.wait()).await;
+        let _ = timeout(CLOSING_POLL_INTERVAL, self.shared.tasks.wait()).await;
     }
 
-    async fn wait_until(&self, until: Instant) {
+    /// Waits until all sessions are closed, at the latest until `until`.
+    async fn wait_for_sessions(&self, until: Instant) {
         while self.shared.sessions.get() > 0 && Instant::now() < until {
-            sleep_until(until.min(Instant::now() + CLOSING_INTERVAL)).await;
+            sleep_until(until.min(Instant::now() + CLOSING_POLL_INTERVAL)).await;
         }
     }
 
-    fn enter(&self, stage: ShutdownStage) {
-        tracing::info!(target: "entry", ?stage, sessions = self.shared.sessions.get(), "stopping");
+    fn enter_stage(&self, stage: ShutdownStage) {
+        tracing::info!(
+            target: "entry",
+            ?stage,
+            sessions = self.shared.sessions.get(),
+            "entering shutdown stage"
+        );
         self.shared.stage.set(stage);
         self.shared.changed.notify_waiters();
     }
 }
 
-/// Runs a task until the host stops.
+/// Spawns a task that is dropped when the host stops.
 fn spawn_until_cancelled(shared: &EntryShared, task: impl Future<Output = ()> + 'static) {
     let cancel = shared.cancel.clone();
     shared.tasks.spawn_local(async move {
-        // Cancelled or done, nothing is left to say.
+        // The task returns nothing, whether it finished or was cancelled.
         let _ = cancel.run_until_cancelled(task).await;
     });
 }
--- a/crates/daemon/src/entry_role/entry_settings.rs
+++ b/crates/daemon/src/entry_role/entry_settings.rs
@@ -2,23 +2,23 @@
 
 use hawthornstack_decisions::identity::HostId;
 
-/// What an entry host is told at its start.
+/// Settings of an entry host, fixed when it starts.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
-    /// Name of the host, for logs and databases.
+    /// Name of the host; databases see it as the name of their client.
     pub name: Arc<str>,
-    /// Number of the host.
+    /// Identifier of this host, from which its address is derived.
     pub me: HostId,
-    /// Data centre that it stands in.
+    /// Data centre of the host; reads prefer databases in it.
     pub data_centre: Arc<str>,
-    /// Where it accepts callers.
+    /// Address on which it accepts callers.
     pub callers: SocketAddr,
-    /// Control hosts that may be asked first.
+    /// Control hosts to contact first; they name the others.
     pub seeds: Vec<HostId>,
     /// Port on which control hosts accept links.
     pub link_port: u16,
-    /// Port on which entry hosts take statements from each other.
+    /// Port on which entry hosts accept forwarded statements from each other.
     pub forward_port: u16,
-    /// Time between a request to stop and the end of the process.
+    /// Time between the stop request and the exit of the process.
     pub grace: Duration,
 }
--- a/crates/daemon/src/entry_role/entry_shared.rs
+++ b/crates/daemon/src/entry_role/entry_shared.rs
@@ -23,56 +23,59 @@
     metrics::HostMetrics,
 };
 
-/// Connections to a database that are left to control's questions.
-const SPARE_CONNECTIONS: u32 = 1;
-/// Part of its share that a host keeps open while idle. Databases hold the
-/// connections of hosts that lost power for seconds, and the rest of their
-/// places is all that the hosts have when they are back.
-const IDLE_PART: usize = 4;
+/// Connections to each database that are left free for the control hosts' requests.
+const RESERVED_CONNECTIONS: u32 = 1;
+/// A host keeps its share divided by this number open while idle. For some seconds
+/// databases still hold the connections of hosts that lost power, and only the rest
+/// is available to these hosts when they return.
+const IDLE_SHARE_DIVISOR: usize = 4;
 
-/// Links of one host to one home for one database: transactions that wait for
-/// their next statement hold one each.
-const HOME_LINKS: usize = 8;
-/// Time for which a home that could not be reached is passed over.
-const HOME_AVOIDANCE: Duration = Duration::from_millis(1_000);
+/// Connections of one host to one gateway for one database. Each transaction that
+/// waits for its next statement occupies one of them.
+const GATEWAY_LINKS: usize = 8;
+/// Time for which an unreachable gateway is not chosen.
+const GATEWAY_AVOIDANCE: Duration = Duration::from_millis(1_000);
 
-/// How far a host is on its way to its end.
+/// Stage of a host's shutdown, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ShutdownStage {
-    /// It serves.
+    /// Not shutting down.
     Serving,
-    /// It says that it takes no new callers, and serves those that come.
+    /// Reports not ready, but still serves callers that connect.
     Leaving,
-    /// Sessions without a transaction are closed between statements.
+    /// Closes sessions without a transaction between statements.
     ClosingIdle,
-    /// All sessions are closed between statements.
+    /// Closes all sessions between statements.
     ClosingAll,
 }
 
-/// A database and the home through which it is reached, if any.
+/// A database and the gateway through which it is reached, if any.
 type PoolKey = (InstanceKey, Option<HostId>);
 
-/// What the tasks of an entry host share; all run on one thread.
+/// State shared by the tasks of an entry host, which all run on one thread.
 pub(super) struct EntryShared {
     pub(super) settings: EntrySettings,
     pub(super) callers: Box<dyn CallerProtocol>,
     pub(super) upstreams: Box<dyn UpstreamProtocol>,
     pub(super) clock: BootClock,
     pub(super) view: RefCell<EntryView>,
-    /// Wakes tasks that wait for a lease, a primary or a database.
+    /// Notified when the view, the shutdown stage or the number of open writes
+    /// changes.
     pub(super) changed: Notify,
     pub(super) stage: Cell<ShutdownStage>,
     pub(super) sessions: Cell<u32>,
     pub(super) reports: mpsc::UnboundedSender<EntryReport>,
+    /// Services and terms whose primary is being probed.
     pub(super) probing: RefCell<BTreeSet<(Arc<str>, u64)>>,
     pub(super) cancel: CancellationToken,
     pub(super) tasks: TaskTracker,
     pub(super) metrics: HostMetrics,
     pub(super) traces: TraceBudget,
     pools: RefCell<HashMap<PoolKey, Rc<DatabasePool>>>,
-    /// Homes that could not be reached, and until when they are passed over.
-    avoided: RefCell<HashMap<HostId, Moment>>,
-    home_loads: RefCell<HashMap<InstanceKey, BTreeMap<HostId, GatewayLoad>>>,
+    /// Gateways that could not be reached, and until when they are not chosen.
+    avoided_gateways: RefCell<HashMap<HostId, Moment>>,
+    gateway_loads: RefCell<HashMap<InstanceKey, BTreeMap<HostId, GatewayLoad>>>,
+    /// Number of open writes by service and term.
     writes: RefCell<BTreeMap<(Arc<str>, u64), u32>>,
 }
 
@@ -102,8 +105,8 @@
             metrics,
             traces: TraceBudget::default(),
             pools: RefCell::new(HashMap::new()),
-            avoided: RefCell::new(HashMap::new()),
-            home_loads: RefCell::new(HashMap::new()),
+            avoided_gateways: RefCell::new(HashMap::new()),
+            gateway_loads: RefCell::new(HashMap::new()),
             writes: RefCell::new(BTreeMap::new()),
         }
     }
@@ -112,9 +115,9 @@
         self.clock.now()
     }
 
-    /// True if a session, idle or in a transaction, is closed before its next
-    /// statement.
-    pub(super) fn closes_session(&self, is_idle: bool) -> bool {
+    /// True if the shutdown stage requires a session to close before its next
+    /// statement; `is_idle` if it has no open transaction.
+    pub(super) fn should_close_session(&self, is_idle: bool) -> bool {
         match self.stage.get() {
             ShutdownStage::Serving | ShutdownStage::Leaving => false,
             ShutdownStage::ClosingIdle => is_idle,
@@ -122,109 +125,119 @@
         }
     }
 
-    /// The pool of connections to a database, direct or through a home.
+    /// The pool of connections to a database, direct or through a gateway.
     pub(super) fn pool(&self, record: &InstanceRecord) -> Rc<DatabasePool> {
         match self.path_to(record) {
             DatabasePath::Direct { connections } => {
-                self.pool_by(record, None, connections as usize)
+                self.pool_via(record, None, connections as usize)
             }
-            DatabasePath::Gateways(homes) => {
-                self.pool_by(record, self.usable_home(record, &homes), HOME_LINKS)
+            DatabasePath::Gateways(gateways) => {
+                self.pool_via(record, self.pick_gateway(record, &gateways), GATEWAY_LINKS)
             }
         }
     }
 
-    /// The pool of this host's own connections to a database.
+    /// The pool of this host's direct connections to a database.
     pub(super) fn direct_pool(&self, record: &InstanceRecord) -> Rc<DatabasePool> {
-        self.pool_by(record, None, self.connection_share(record, None))
+        self.pool_via(record, None, self.connection_share(record, None))
     }
 
-    fn pool_by(
+    fn pool_via(
         &self,
         record: &InstanceRecord,
-        home: Option<HostId>,
+        gateway: Option<HostId>,
         share: usize,
     ) -> Rc<DatabasePool> {
         let hosts = self.view.borrow().entry_hosts();
         let mut pools = self.pools.borrow_mut();
-        let pool = pools.entry((record.key.clone(), home));
-        let pool = pool.or_insert_with(|| DatabasePool::new(record, home, hosts, share));
+        let pool = pools.entry((record.key.clone(), gateway));
+        let pool = pool.or_insert_with(|| DatabasePool::new(record, gateway, hosts, share));
         pool.set_share(share);
         pool.clone()
     }
 
-    fn usable_home(&self, record: &InstanceRecord, homes: &[HostId]) -> Option<HostId> {
-        let (avoided, loads) = (self.avoided.borrow(), self.home_loads.borrow());
+    fn pick_gateway(&self, record: &InstanceRecord, gateways: &[HostId]) -> Option<HostId> {
+        let (avoided_gateways, loads) =
+            (self.avoided_gateways.borrow(), self.gateway_loads.borrow());
         let loads = loads.get(&record.key);
-        let load_of = |home: &HostId| {
-            let mut load = loads.and_then(|loads| loads.get(home)).copied().unwrap_or_default();
-            avoided.get(home).into_iter().for_each(|until| load.avoid_until(*until));
+        let load_of = |gateway: &HostId| {
+            let mut load = loads.and_then(|loads| loads.get(gateway)).copied().unwrap_or_default();
+            avoided_gateways.get(gateway).into_iter().for_each(|until| load.avoid_until(*until));
             load
         };
-        let known: Vec<GatewayLoad> = homes.iter().map(load_of).collect();
-        choose_gateway(&known, self.now()).map(|place| homes[place])
+        let candidate_loads: Vec<GatewayLoad> = gateways.iter().map(load_of).collect();
+        choose_gateway(&candidate_loads, self.now()).map(|index| gateways[index])
     }
 
-    /// Notes how a home answered for a database, or that it had no connection
-    /// free.
-    pub(super) fn note_home(&self, key: &InstanceKey, home: HostId, took: Duration, busy: bool) {
-        let mut loads = self.home_loads.borrow_mut();
-        let load = loads.entry(key.clone()).or_default().entry(home).or_default();
+    /// Records the time of a gateway's answer for a database, or that it had no
+    /// free connection.
+    pub(super) fn record_gateway_answer(
+        &self,
+        key: &InstanceKey,
+        gateway: HostId,
+        took: Duration,
+        busy: bool,
+    ) {
+        let mut loads = self.gateway_loads.borrow_mut();
+        let load = loads.entry(key.clone()).or_default().entry(gateway).or_default();
         match busy {
             true => load.record_no_connection(self.now()),
             false => load.record_answer(took),
         }
     }
 
-    /// Passes over a home for a while.
-    pub(super) fn avoid_home(&self, home: HostId) {
-        self.avoided.borrow_mut().insert(home, self.now() + HOME_AVOIDANCE);
+    /// Excludes a gateway from the choice for `GATEWAY_AVOIDANCE`.
+    pub(super) fn avoid_gateway(&self, gateway: HostId) {
+        self.avoided_gateways.borrow_mut().insert(gateway, self.now() + GATEWAY_AVOIDANCE);
     }
 
     fn path_to(&self, record: &InstanceRecord) -> DatabasePath {
         let view = self.view.borrow();
         let rule = view.routes().and_then(|table| table.service(&record.service));
         let limit = rule.map_or(1, |rule| rule.max_connections).max(1);
-        let connections = limit.saturating_sub(SPARE_CONNECTIONS).max(1);
+        let connections = limit.saturating_sub(RESERVED_CONNECTIONS).max(1);
         view.path_to(self.settings.me, &record.key.id, connections)
     }
 
-    /// Closes what is idle beyond this host's share, and the connections to
-    /// databases that are gone.
-    pub(super) fn tend_pools(&self) {
+    /// Updates the share of each pool, closes surplus idle connections and those
+    /// to databases that are gone, and lowers the remembered latency of gateways.
+    pub(super) fn trim_pools(&self) {
         let pools: Vec<Rc<DatabasePool>> = self.pools.borrow().values().cloned().collect();
-        self.fade_homes();
+        self.decay_gateway_loads();
         for pool in pools {
             let gone = self.view.borrow().instance(&pool.record().key).is_none();
-            let share = self.connection_share(pool.record(), pool.home());
+            let share = self.connection_share(pool.record(), pool.gateway());
             pool.set_share(share);
-            pool.tend((share / IDLE_PART).max(1), gone);
+            pool.close_idle((share / IDLE_SHARE_DIVISOR).max(1), gone);
             if gone && pool.is_empty() {
-                self.pools.borrow_mut().remove(&(pool.record().key.clone(), pool.home()));
+                self.pools.borrow_mut().remove(&(pool.record().key.clone(), pool.gateway()));
             }
         }
     }
 
-    /// Forgets homes of databases that are gone, and slowly how slow they were.
-    fn fade_homes(&self) {
+    /// Removes gateway loads of databases that are gone, and lowers the remembered
+    /// latency of the rest, so that a slow gateway is tried again.
+    fn decay_gateway_loads(&self) {
         let view = self.view.borrow();
-        let mut loads = self.home_loads.borrow_mut();
+        let mut loads = self.gateway_loads.borrow_mut();
         loads.retain(|key, _| view.instance(key).is_some());
         loads.values_mut().flat_map(BTreeMap::values_mut).for_each(GatewayLoad::decay);
     }
 
-    /// This host's even share of a database's connections, or of a home's.
-    fn connection_share(&self, record: &InstanceRecord, home: Option<HostId>) -> usize {
-        match (home, self.path_to(record)) {
-            (Some(_), _) => HOME_LINKS,
+    /// Number of connections that this host may open to a database, or to a
+    /// gateway for it.
+    fn connection_share(&self, record: &InstanceRecord, gateway: Option<HostId>) -> usize {
+        match (gateway, self.path_to(record)) {
+            (Some(_), _) => GATEWAY_LINKS,
             (None, DatabasePath::Direct { connections }) => connections as usize,
-            // No longer a home: what runs ends, nothing is opened beside it.
+            // This host is no longer a gateway: running statements finish, and no
+            // further connections are opened.
             (None, DatabasePath::Gateways(_)) => 0,
         }
     }
 
-    /// Sets the gauges.
-    pub(super) fn measure(&self) {
+    /// Updates the gauges of this host and its pools.
+    pub(super) fn update_gauges(&self) {
         let now = self.now();
         let view = self.view.borrow();
         let metrics = &self.metrics;
@@ -234,24 +247,25 @@
         metrics.set("hawthornstack_routes_version", view.routes_version() as f64, &[]);
         metrics.set("hawthornstack_applied_index", view.applied() as f64, &[]);
         for pool in self.pools.borrow().values() {
-            pool.measure(metrics);
+            pool.update_gauges(metrics);
         }
     }
 
-    /// Counts a write or transaction that a planned change of primary waits
-    /// for.
-    pub(super) fn begin_write(self: &Rc<Self>, service: &Arc<str>, number: u64) -> WriteGuard {
-        let key = (service.clone(), number);
+    /// Counts a write or transaction until the guard is dropped; a planned change
+    /// of primary waits for it.
+    pub(super) fn begin_write(self: &Rc<Self>, service: &Arc<str>, term_number: u64) -> WriteGuard {
+        let key = (service.clone(), term_number);
         *self.writes.borrow_mut().entry(key.clone()).or_default() += 1;
         WriteGuard { shared: self.clone(), key }
     }
 
-    pub(super) fn open_writes(&self, service: &Arc<str>, number: u64) -> u32 {
-        self.writes.borrow().get(&(service.clone(), number)).copied().unwrap_or(0)
+    /// Number of writes and transactions open in a term of a service.
+    pub(super) fn open_writes(&self, service: &Arc<str>, term_number: u64) -> u32 {
+        self.writes.borrow().get(&(service.clone(), term_number)).copied().unwrap_or(0)
     }
 }
 
-/// Counts one open write for as long as it lives.
+/// Counts one open write or transaction until it is dropped.
 pub(super) struct WriteGuard {
     shared: Rc<EntryShared>,
     key: (Arc<str>, u64),
--- a/crates/daemon/src/entry_role/forward_task.rs
+++ b/crates/daemon/src/entry_role/forward_task.rs
@@ -11,7 +11,9 @@
 use super::{
     entry_shared::EntryShared,
     request_trace::RequestTrace,
-    statement_run::{RunPlace, encode_begin, encode_statement, roll_back_place, run_at},
+    statement_run::{
+        AssignedConnection, encode_begin, encode_statement, run_exchange, spawn_rollback,
+    },
     upstream_link::UpstreamAnswer,
 };
 use crate::{
@@ -22,30 +24,35 @@
     links::{LineStream, prepare_socket},
 };
 
-/// Time for which a forwarded statement waits for a connection of its home;
-/// its own host repeats what is refused while it has time.
-const FORWARD_WAIT: Duration = Duration::from_millis(250);
-/// Longest time for a forwarded statement at the database; its own host gives
-/// up sooner by the route's timeout.
+/// Time for which a forwarded statement waits for a connection at its gateway; the
+/// forwarding host retries refused statements until their own deadline.
+const FORWARD_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of a forwarded statement at the database; the forwarding host usually
+/// ends it sooner, by the timeout of its route.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Silence of another host with unacknowledged data after which it is gone.
-const FORWARD_SILENCE: Duration = Duration::from_secs(2);
+/// Time that sent data may stay unacknowledged before the connection of another
+/// host counts as lost.
+const FORWARD_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Of a statement whose host says nothing about it.
+/// Urgency of a statement for which the forwarding host sent none.
 const DEFAULT_URGENCY: ForwardUrgency =
-    ForwardUrgency { priority: 1, objective: FORWARD_WAIT, waited: Duration::ZERO };
+    ForwardUrgency { priority: 1, objective: FORWARD_CONNECT_TIMEOUT, waited: Duration::ZERO };
 
-/// Takes another entry host's statements for a database that this host is a home
-/// of.
+/// Runs statements that another entry host forwards for a database of which this
+/// host is a gateway.
 pub(super) async fn serve_forwards(shared: Rc<EntryShared>, stream: TcpStream) {
-    if prepare_socket(&stream, FORWARD_SILENCE).is_err() {
+    if prepare_socket(&stream, FORWARD_SILENCE_TIMEOUT).is_err() {
         return;
     }
     let mut lines = LineStream::new(stream);
     let cancel = shared.cancel.clone();
     let served = cancel.run_until_cancelled(run_forwards(&shared, &mut lines)).await;
     if let Some(Err(error)) = served {
-        tracing::debug!(target: "entry", %error, "a host's connection broke");
+        tracing::debug!(
+            target: "entry",
+            %error,
+            "connection from an entry host failed; an open transaction is rolled back"
+        );
     }
 }
 
@@ -54,29 +61,30 @@
         return Ok(());
     };
     let mut out = Vec::new();
-    let Some(record) = open_forward(shared, &line) else {
+    let Some(record) = find_requested_database(shared, &line) else {
         shared.upstreams.encode_forward_refusal(&mut out, UpstreamCode::Misrouted);
         return lines.send(&out).await;
     };
     shared.callers.encode_ready(&mut out, SessionPhase::Idle, None);
     lines.send(&out).await?;
     let mut link = ForwardLink::new(shared, record);
-    while let Some(line) = next_command(shared, lines, &link).await? {
+    while let Some(line) = read_command(shared, lines, &link).await? {
         out.clear();
         let command = shared.upstreams.decode_forwarded(&line).map_err(io::Error::other)?;
-        link.run(command, &mut out).await?;
-        // Restoring statements come together with the one they are for.
+        link.run_command(command, &mut out).await?;
+        // Statements that restore the session arrive together with the statement
+        // that needs them; all are answered at once.
         while let Some(line) = lines.take_line() {
             let command = shared.upstreams.decode_forwarded(&line).map_err(io::Error::other)?;
-            link.run(command, &mut out).await?;
+            link.run_command(command, &mut out).await?;
         }
         lines.send(&out).await?;
     }
     Ok(())
 }
 
-/// The database that another host wants, if this host knows it.
-fn open_forward(shared: &EntryShared, line: &Bytes) -> Option<InstanceRecord> {
+/// The database that another host asks to open, if this host knows it.
+fn find_requested_database(shared: &EntryShared, line: &Bytes) -> Option<InstanceRecord> {
     let Ok(ForwardedCommand::Open { service, instance }) = shared.upstreams.decode_forwarded(line)
     else {
         return None;
@@ -85,16 +93,16 @@
     view.instance_by_id(&instance).filter(|record| record.service == service).cloned()
 }
 
-/// The next command; `None` if the other host closed, or if this host stops
-/// and no transaction is open.
-async fn next_command(
+/// Reads the next command; `None` if the other host closed the connection, or if
+/// this host's shutdown closes it and no command is left in the buffer.
+async fn read_command(
     shared: &EntryShared,
     lines: &mut LineStream,
     link: &ForwardLink,
 ) -> io::Result<Option<Bytes>> {
     loop {
         let changed = shared.changed.notified();
-        if shared.closes_session(link.place.is_none()) {
+        if shared.should_close_session(link.pinned.is_none()) {
             return Ok(lines.take_line());
         }
         tokio::select! {
@@ -105,15 +113,15 @@
     }
 }
 
-/// One connection of another host, which stands for one to the database.
+/// A connection from another host, which uses it like one to the database.
 struct ForwardLink {
     shared: Rc<EntryShared>,
     record: InstanceRecord,
     state: SessionState,
-    /// Of the next statement.
+    /// Urgency of the next statement.
     urgency: Option<ForwardUrgency>,
-    /// The open transaction's place.
-    place: Option<RunPlace>,
+    /// Connection of the open transaction.
+    pinned: Option<AssignedConnection>,
 }
 
 impl ForwardLink {
@@ -123,12 +131,12 @@
             record,
             state: SessionState::default(),
             urgency: None,
-            place: None,
+            pinned: None,
         }
     }
 
     fn phase(&self) -> SessionPhase {
-        match self.place {
+        match self.pinned {
             Some(_) => SessionPhase::InTransaction,
             None => SessionPhase::Idle,
         }
@@ -137,57 +145,63 @@
     /// Runs a command and appends the answer.
     ///
     /// # Errors
-    /// If the database's connection broke: the other host's must break too,
-    /// since the statement may have run.
-    async fn run(&mut self, command: ForwardedCommand, out: &mut Vec<u8>) -> io::Result<()> {
+    /// If the connection to the database failed: the connection of the other host
+    /// must then be closed too, since the statement may have run. Also if the
+    /// command is not allowed in the current state.
+    async fn run_command(
+        &mut self,
+        command: ForwardedCommand,
+        out: &mut Vec<u8>,
+    ) -> io::Result<()> {
         match command {
             ForwardedCommand::Open { .. } => return Err(io::ErrorKind::InvalidData.into()),
             ForwardedCommand::Urgency(urgency) => self.urgency = Some(urgency),
             ForwardedCommand::Reset => {
                 self.state = SessionState::default();
-                self.done(out);
+                self.encode_done(out);
             }
             ForwardedCommand::Begin { read_only, after } => {
-                return self.begin(read_only, after, out).await;
+                return self.begin_transaction(read_only, after, out).await;
             }
             ForwardedCommand::Statement { after, statement } => match &statement.action {
                 StatementAction::SetValue { name, value } => {
                     self.state.values.insert(name.clone(), value.clone());
-                    self.done(out);
+                    self.encode_done(out);
                 }
                 StatementAction::Prepare { name, prepared } => {
                     self.state.prepared.insert(name.clone(), prepared.clone());
-                    self.done(out);
+                    self.encode_done(out);
                 }
                 StatementAction::Rollback => {
-                    if let Some(place) = self.place.take() {
-                        roll_back_place(&self.shared, place);
+                    if let Some(connection) = self.pinned.take() {
+                        spawn_rollback(&self.shared, connection);
                     }
-                    self.done(out);
+                    self.encode_done(out);
                 }
-                _ => return self.statement(&statement, after, out).await,
+                _ => return self.run_statement(&statement, after, out).await,
             },
         }
         Ok(())
     }
 
-    fn done(&self, out: &mut Vec<u8>) {
+    fn encode_done(&self, out: &mut Vec<u8>) {
         self.shared.callers.encode_done(out);
         self.shared.callers.encode_ready(out, self.phase(), None);
     }
 
-    fn refuse(&self, out: &mut Vec<u8>) {
+    fn encode_busy(&self, out: &mut Vec<u8>) {
         self.shared.upstreams.encode_forward_refusal(out, UpstreamCode::Busy);
         self.shared.callers.encode_ready(out, self.phase(), None);
     }
 
-    fn relay(&self, out: &mut Vec<u8>, answer: &UpstreamAnswer) {
+    fn encode_answer(&self, out: &mut Vec<u8>, answer: &UpstreamAnswer) {
         out.extend_from_slice(&answer.body);
         self.shared.callers.encode_ready(out, answer.phase, answer.position);
     }
 
-    /// A connection of this host, if one comes free soon.
-    async fn connect(&mut self) -> Option<RunPlace> {
+    /// Acquires a direct connection, if one becomes free within
+    /// `FORWARD_CONNECT_TIMEOUT`.
+    async fn acquire_connection(&mut self) -> Option<AssignedConnection> {
         let pool = self.shared.direct_pool(&self.record);
         let now = self.shared.now();
         let urgency = self.urgency.take().unwrap_or(DEFAULT_URGENCY);
@@ -196,36 +210,37 @@
             objective: urgency.objective,
             priority: urgency.priority,
         };
-        let deadline = Instant::now() + FORWARD_WAIT;
-        let link = pool.acquire(&self.shared, statement, deadline).await.ok()?;
-        Some(RunPlace::for_forward(link, Arc::clone(&self.record.service)))
+        let deadline = Instant::now() + FORWARD_CONNECT_TIMEOUT;
+        let pooled = pool.acquire(&self.shared, statement, deadline).await.ok()?;
+        Some(AssignedConnection::for_forward(pooled, Arc::clone(&self.record.service)))
     }
 
-    async fn begin(
+    async fn begin_transaction(
         &mut self,
         read_only: bool,
         after: Option<LogPosition>,
         out: &mut Vec<u8>,
     ) -> io::Result<()> {
-        if self.place.is_some() {
+        if self.pinned.is_some() {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        let Some(mut place) = self.connect().await else {
-            self.refuse(out);
+        let Some(mut connection) = self.acquire_connection().await else {
+            self.encode_busy(out);
             return Ok(());
         };
         let mut bytes = Vec::new();
-        let Some(link) = place.link.link() else {
+        let Some(link) = connection.pooled.link() else {
             return Err(io::ErrorKind::NotConnected.into());
         };
-        let restoring = encode_begin(&self.shared, link, &self.state, read_only, after, &mut bytes);
-        let answer = self.exchange(&mut place, &bytes, restoring).await?;
-        self.relay(out, &answer);
-        self.keep(place, &answer);
+        let restore_count =
+            encode_begin(&self.shared, link, &self.state, read_only, after, &mut bytes);
+        let answer = self.exchange(&mut connection, &bytes, restore_count).await?;
+        self.encode_answer(out, &answer);
+        self.pin_or_release(connection, &answer);
         Ok(())
     }
 
-    async fn statement(
+    async fn run_statement(
         &mut self,
         statement: &CallerStatement,
         after: Option<LogPosition>,
@@ -236,46 +251,46 @@
         {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        let place = match self.place.take() {
-            Some(place) => Some(place),
-            None => self.connect().await,
+        let connection = match self.pinned.take() {
+            Some(connection) => Some(connection),
+            None => self.acquire_connection().await,
         };
-        let Some(mut place) = place else {
-            self.refuse(out);
+        let Some(mut connection) = connection else {
+            self.encode_busy(out);
             return Ok(());
         };
         let mut bytes = Vec::with_capacity(statement.text.len() + 64);
-        let Some(link) = place.link.link() else {
+        let Some(link) = connection.pooled.link() else {
             return Err(io::ErrorKind::NotConnected.into());
         };
-        let restoring =
+        let restore_count =
             encode_statement(&self.shared, link, &self.state, statement, after, &mut bytes);
-        let answer = self.exchange(&mut place, &bytes, restoring).await?;
-        self.relay(out, &answer);
-        self.keep(place, &answer);
+        let answer = self.exchange(&mut connection, &bytes, restore_count).await?;
+        self.encode_answer(out, &answer);
+        self.pin_or_release(connection, &answer);
         Ok(())
     }
 
     async fn exchange(
         &self,
-        place: &mut RunPlace,
+        connection: &mut AssignedConnection,
         bytes: &[u8],
-        restoring: usize,
+        restore_count: usize,
     ) -> io::Result<UpstreamAnswer> {
         let deadline = Instant::now() + FORWARD_TIMEOUT;
         let mut trace = RequestTrace::new(b"-", self.shared.now());
-        run_at(&self.shared, place, bytes, restoring, deadline, &mut trace)
+        run_exchange(&self.shared, connection, bytes, restore_count, deadline, &mut trace)
             .await
             .map_err(|_| io::ErrorKind::ConnectionAborted.into())
     }
 
-    /// Keeps the place for the open transaction, or gives it back.
-    fn keep(&mut self, mut place: RunPlace, answer: &UpstreamAnswer) {
+    /// Pins the connection to the open transaction, or releases it.
+    fn pin_or_release(&mut self, mut connection: AssignedConnection, answer: &UpstreamAnswer) {
         match answer.phase {
-            SessionPhase::Idle => place.link.release(),
+            SessionPhase::Idle => connection.pooled.release(),
             SessionPhase::InTransaction | SessionPhase::Failed => {
-                place.link.pin();
-                self.place = Some(place);
+                connection.pooled.pin();
+                self.pinned = Some(connection);
             }
         }
     }
@@ -283,8 +298,8 @@
 
 impl Drop for ForwardLink {
     fn drop(&mut self) {
-        if let Some(place) = self.place.take() {
-            roll_back_place(&self.shared, place);
+        if let Some(connection) = self.pinned.take() {
+            spawn_rollback(&self.shared, connection);
         }
     }
 }
--- a/crates/daemon/src/entry_role/mod.rs
+++ b/crates/daemon/src/entry_role/mod.rs
@@ -1,4 +1,4 @@
-//! An entry host: takes callers' sessions and runs their statements on shared
+//! An entry host: accepts callers' sessions and runs their statements over pooled
 //! connections to the databases.
 
 mod caller_session;
--- a/crates/daemon/src/entry_role/primary_probe.rs
+++ b/crates/daemon/src/entry_role/primary_probe.rs
@@ -8,21 +8,23 @@
 
 use super::entry_shared::EntryShared;
 
-/// Time for a primary to take a TCP connection: its system answers, whatever
-/// the database is busy with.
+/// Timeout for a TCP connection to a primary. The operating system completes the
+/// handshake even while the database is busy.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Failures in a row after which a primary counts as unreachable; together
-/// with the pauses longer than a pause of 300 ms that must be borne.
+/// Consecutive failures after which a primary is reported unreachable. With the
+/// intervals between them they take longer than a stall of 300 ms, which must be
+/// tolerated.
 const PROBE_FAILURES: u32 = 3;
-/// Time between the beginnings of two probes that fail.
+/// Time between the starts of consecutive failing probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(180);
-/// Time between two reports on a primary that stays unreachable.
+/// Time between reports on a primary that stays unreachable.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Finds out whether the primary of a term can be reached, and tells control
-/// until it can or the term is over.
-pub(super) fn probe_primary(shared: &Rc<EntryShared>, service: &Arc<str>, number: u64) {
-    let key = (service.clone(), number);
+/// Probes the primary of a term and reports the result to the control leader,
+/// until the primary is reachable or the term is no longer steady. Does nothing if
+/// it is being probed already.
+pub(super) fn probe_primary(shared: &Rc<EntryShared>, service: &Arc<str>, term_number: u64) {
+    let key = (service.clone(), term_number);
     if !shared.probing.borrow_mut().insert(key.clone()) {
         return;
     }
@@ -35,18 +37,18 @@
     });
 }
 
-async fn watch_primary(shared: &Rc<EntryShared>, service: &Arc<str>, number: u64) {
+async fn watch_primary(shared: &Rc<EntryShared>, service: &Arc<str>, term_number: u64) {
     let mut failures = 0;
-    while let Some(address) = primary_address(shared, service, number) {
+    while let Some(address) = primary_address(shared, service, term_number) {
         let began = Instant::now();
         if matches!(timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await, Ok(Ok(_))) {
-            report(shared, service, number, true);
-            // What is slow for other reasons needs no further probe at once.
+            report_reachability(shared, service, term_number, true);
+            // If the primary is slow for another reason, a new probe at once is of no use.
             return sleep(REPORT_INTERVAL).await;
         }
         failures += 1;
         if failures >= PROBE_FAILURES {
-            report(shared, service, number, false);
+            report_reachability(shared, service, term_number, false);
             sleep(REPORT_INTERVAL).await;
         } else {
             sleep(PROBE_INTERVAL.saturating_sub(began.elapsed())).await;
@@ -54,16 +56,21 @@
     }
 }
 
-fn primary_address(shared: &EntryShared, service: &str, number: u64) -> Option<SocketAddr> {
+fn primary_address(shared: &EntryShared, service: &str, term_number: u64) -> Option<SocketAddr> {
     let view = shared.view.borrow();
-    let term = view.term(service).filter(|term| term.number == number && term.is_steady())?;
+    let term = view.term(service).filter(|term| term.number == term_number && term.is_steady())?;
     view.instance(&term.primary).map(|record| record.address)
 }
 
-fn report(shared: &EntryShared, service: &Arc<str>, number: u64, reachable: bool) {
-    tracing::info!(target: "entry", %service, number, reachable, "primary probed");
+fn report_reachability(
+    shared: &EntryShared,
+    service: &Arc<str>,
+    term_number: u64,
+    reachable: bool,
+) {
+    tracing::info!(target: "entry", %service, number = term_number, reachable, "primary probed");
     let service = service.clone();
-    let report = EntryReport::PrimaryReachable { service, number, reachable };
-    // The receiver ends only with the process.
+    let report = EntryReport::PrimaryReachable { service, number: term_number, reachable };
+    // The receiver is dropped only at shutdown.
     let _ = shared.reports.send(report);
 }
--- a/crates/daemon/src/entry_role/request_trace.rs
+++ b/crates/daemon/src/entry_role/request_trace.rs
@@ -4,35 +4,36 @@
 
 use crate::metrics::HostMetrics;
 
-/// One of so many ordinary statements is written to the log in full.
-const SAMPLE_EVERY: u64 = 1_024;
-/// Lines about statements that a host writes in a second at most.
-const LINES_PER_SECOND: u32 = 200;
+/// One in this many ordinary statements is logged with all its steps.
+const SAMPLE_INTERVAL: u64 = 1_024;
+/// Limit for log lines about statements, per host.
+const MAX_LINES_PER_SECOND: u32 = 200;
 
-/// One decision about a statement, with what it was decided by.
+/// A step in the handling of a statement, with the values that it was based on.
 #[derive(Debug, Clone)]
 pub(super) enum TraceStep {
     /// A database was chosen.
     Routed {
         instance: InstanceKey,
-        /// The term, if it is the primary.
+        /// Number of the term, if the database is the primary.
         term: Option<u64>,
-        /// Position that it must hold.
+        /// Position that a replica must have applied.
         after: Option<LogPosition>,
-        /// What this host expects an answer to take there, in milliseconds.
+        /// Expected time to an answer, in milliseconds.
         expected_ms: f64,
     },
-    /// No primary may be used: no lease, or it is being replaced.
+    /// No primary may be used: this host has no lease, or the primary is being
+    /// replaced.
     WaitedForPrimary { has_lease: bool, term: Option<u64> },
-    /// It waited for a connection.
+    /// The statement waited for a connection; `got` if it was given one.
     Queued { waited: Duration, got: bool },
-    /// It was sent and answered, or not.
+    /// The statement was sent; `result` says how the exchange ended.
     Sent { instance: InstanceKey, took: Duration, result: &'static str },
     /// Another attempt follows.
     Retried { reason: &'static str },
 }
 
-/// What is known of a statement when it ends.
+/// Summary of a finished statement for metrics and the log.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TraceEnd<'a> {
     pub(super) database: &'a str,
@@ -45,20 +46,20 @@
     pub(super) lease_ms: u64,
 }
 
-/// The decisions about one statement. They are written only if it failed, was
-/// retried or late, or is one of the samples, so that an ordinary statement
-/// costs a few words of memory.
+/// The steps of one statement. They are logged only if it failed, was retried,
+/// missed its objective or is sampled, so that an ordinary statement costs only a
+/// few words of memory.
 #[derive(Debug)]
 pub(super) struct RequestTrace {
     pub(super) id: String,
     began: Moment,
     steps: Vec<(Moment, TraceStep)>,
     retried: bool,
-    /// The last choice repeated the one before it.
-    looks_again: bool,
+    /// The last routing step chose the same database again and was not recorded.
+    repeats_choice: bool,
 }
 
-/// Bounds the lines about statements.
+/// Rate limit and sampling of the log lines about statements.
 #[derive(Debug, Default)]
 pub(super) struct TraceBudget {
     second: Cell<u64>,
@@ -68,8 +69,9 @@
 }
 
 impl TraceBudget {
-    /// True if so many more lines may be written; counts those that may not.
-    fn take(&self, now: Moment, lines: u32, metrics: &HostMetrics) -> bool {
+    /// True if `lines` more lines may be logged in this second; otherwise counts
+    /// them as left out.
+    fn reserve_lines(&self, now: Moment, lines: u32, metrics: &HostMetrics) -> bool {
         let second = now.as_micros() / 1_000_000;
         if second != self.second.replace(second) {
             self.written.set(0);
@@ -78,7 +80,7 @@
                 tracing::warn!(target: "log", kind = "request", left_out, "lines left out");
             }
         }
-        if self.written.get() + lines <= LINES_PER_SECOND {
+        if self.written.get() + lines <= MAX_LINES_PER_SECOND {
             self.written.set(self.written.get() + lines);
             return true;
         }
@@ -89,31 +91,32 @@
 
     fn is_sample(&self) -> bool {
         self.count.set(self.count.get() + 1);
-        self.count.get().is_multiple_of(SAMPLE_EVERY)
+        self.count.get().is_multiple_of(SAMPLE_INTERVAL)
     }
 }
 
 impl RequestTrace {
     pub(super) fn new(id: &[u8], began: Moment) -> Self {
         let id = String::from_utf8_lossy(id).into_owned();
-        Self { id, began, steps: Vec::new(), retried: false, looks_again: false }
+        Self { id, began, steps: Vec::new(), retried: false, repeats_choice: false }
     }
 
-    /// True if the last decision was to wait for a primary.
+    /// True if the last recorded step is a wait for a primary.
     pub(super) fn waits_for_primary(&self) -> bool {
         matches!(self.steps.last(), Some((_, TraceStep::WaitedForPrimary { .. })))
     }
 
-    pub(super) fn note(&mut self, now: Moment, step: TraceStep) {
-        if self.extends_last(&step) {
+    pub(super) fn record(&mut self, now: Moment, step: TraceStep) {
+        if self.merge_into_last(&step) {
             return;
         }
         self.retried |= matches!(step, TraceStep::Retried { .. });
         self.steps.push((now, step));
     }
 
-    /// A read that looks again and chooses the same database goes on waiting.
-    fn extends_last(&mut self, step: &TraceStep) -> bool {
+    /// Merges the step into the last one if a read chose the same database again:
+    /// both waits count as one.
+    fn merge_into_last(&mut self, step: &TraceStep) -> bool {
         let [.., (_, TraceStep::Routed { instance: before, .. }), (_, last)] = &mut *self.steps
         else {
             return false;
@@ -124,20 +127,21 @@
         match step {
             TraceStep::Routed { instance, .. } => {
                 let same = !*got && instance == before;
-                self.looks_again = same;
+                self.repeats_choice = same;
                 same
             }
-            TraceStep::Queued { waited: more, got: now_got } if self.looks_again => {
+            TraceStep::Queued { waited: more, got: now_got } if self.repeats_choice => {
                 *waited += *more;
                 *got = *now_got;
-                self.looks_again = false;
+                self.repeats_choice = false;
                 true
             }
             _ => false,
         }
     }
 
-    /// Ends the trace: counts the statement and writes it if it is worth it.
+    /// Ends the trace: updates the metrics, and logs the steps unless the statement
+    /// was ordinary and not sampled, or the rate limit is reached.
     pub(super) fn finish(
         self,
         now: Moment,
@@ -163,7 +167,7 @@
         if is_ordinary && !budget.is_sample() {
             return;
         }
-        if !budget.take(now, self.steps.len() as u32 + 1, metrics) {
+        if !budget.reserve_lines(now, self.steps.len() as u32 + 1, metrics) {
             return;
         }
         for (at, step) in &self.steps {
@@ -172,7 +176,7 @@
         tracing::info!(
             target: "request",
             request = self.id,
-            at_ms = ms(took),
+            at_ms = rounded_ms(took),
             database = end.database,
             kind = end.route_kind,
             action = end.action,
@@ -186,7 +190,7 @@
 
     fn write_step(&self, at: Moment, step: &TraceStep) {
         let request = &*self.id;
-        let at_ms = ms(at.since(self.began));
+        let at_ms = rounded_ms(at.since(self.began));
         match step {
             TraceStep::Routed { instance, term, after, expected_ms } => {
                 let after = after.map(|after| after.to_string()).unwrap_or_default();
@@ -198,11 +202,11 @@
                 tracing::info!(target: "request", request, at_ms, has_lease, term, "no primary");
             }
             TraceStep::Queued { waited, got } => {
-                let waited_ms = ms(*waited);
+                let waited_ms = rounded_ms(*waited);
                 tracing::info!(target: "request", request, at_ms, waited_ms, got, "waited");
             }
             TraceStep::Sent { instance, took, result } => {
-                let took_ms = ms(*took);
+                let took_ms = rounded_ms(*took);
                 tracing::info!(target: "request", request, at_ms, %instance, took_ms, result, "sent");
             }
             TraceStep::Retried { reason } => {
@@ -212,6 +216,7 @@
     }
 }
 
-fn ms(time: Duration) -> f64 {
+/// Milliseconds, rounded to tenths.
+fn rounded_ms(time: Duration) -> f64 {
     (time.as_secs_f64() * 10_000.0).round() / 10.0
 }
--- a/crates/daemon/src/entry_role/session_task.rs
+++ b/crates/daemon/src/entry_role/session_task.rs
@@ -16,23 +16,23 @@
     links::{LineStream, prepare_socket},
 };
 
-/// Time for a caller to name its database.
+/// Time for a caller to send its connect request.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which a caller waits for this host's first configuration.
+/// Time for which a connect request waits for this host's first configuration.
 const ROUTES_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Silence of a caller with unacknowledged data after which it is gone.
-const CALLER_SILENCE: Duration = Duration::from_secs(5);
+/// Time that sent data may stay unacknowledged before a caller counts as gone.
+const CALLER_SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves one caller until it leaves or the host closes its session.
+/// Serves one caller until it disconnects or the host closes its session.
 pub(super) async fn serve_caller(shared: Rc<EntryShared>, stream: TcpStream) {
-    if prepare_socket(&stream, CALLER_SILENCE).is_err() {
+    if prepare_socket(&stream, CALLER_SILENCE_TIMEOUT).is_err() {
         return;
     }
     shared.sessions.set(shared.sessions.get() + 1);
     let mut lines = LineStream::new(stream);
     let cancel = shared.cancel.clone();
     if let Some(Err(error)) = cancel.run_until_cancelled(run_session(&shared, &mut lines)).await {
-        tracing::debug!(target: "entry", %error, "a caller's connection broke");
+        tracing::debug!(target: "entry", %error, "caller connection failed; its session is closed");
     }
     shared.sessions.set(shared.sessions.get() - 1);
 }
@@ -45,7 +45,7 @@
     let mut session = CallerSession::new(shared, database, opened);
     shared.callers.encode_ready(&mut out, SessionPhase::Idle, None);
     lines.send(&out).await?;
-    while let Some(line) = next_message(shared, lines, &mut session).await? {
+    while let Some(line) = read_message(shared, lines, &mut session).await? {
         out.clear();
         match shared.callers.decode_request(&line) {
             Ok(CallerRequest::Terminate) => return Ok(()),
@@ -64,8 +64,9 @@
     Ok(())
 }
 
-/// Reads which database the caller wants, and since when; `None` with an answer in `out` if
-/// there is no session.
+/// Reads the connect request; returns the database and when the request arrived.
+/// `None` if there is no session: `out` then holds the refusal, or nothing if no
+/// request came.
 async fn open_session(
     shared: &Rc<EntryShared>,
     lines: &mut LineStream,
@@ -103,8 +104,8 @@
     Ok(None)
 }
 
-/// Waits until this host has a configuration, which it may lack after its
-/// start; false if it still has none.
+/// Waits for a configuration, which may be missing shortly after the start of the
+/// host; false if there is none within `ROUTES_TIMEOUT`.
 async fn wait_for_routes(shared: &EntryShared) -> bool {
     let deadline = Instant::now() + ROUTES_TIMEOUT;
     loop {
@@ -116,8 +117,9 @@
     }
 }
 
-/// The caller's next message; `None` if the session is over.
-async fn next_message(
+/// Reads the caller's next message, and rolls back its transaction if that comes
+/// too late; `None` if the session is over.
+async fn read_message(
     shared: &Rc<EntryShared>,
     lines: &mut LineStream,
     session: &mut CallerSession,
@@ -125,7 +127,7 @@
     let mut idle_until = session.idle_limit().map(|limit| Instant::now() + limit);
     loop {
         let changed = shared.changed.notified();
-        if shared.closes_session(session.is_idle()) {
+        if shared.should_close_session(session.is_idle()) {
             return Ok(lines.take_line());
         }
         let idle = async {
--- a/crates/daemon/src/entry_role/statement_run.rs
+++ b/crates/daemon/src/entry_role/statement_run.rs
@@ -20,44 +20,44 @@
     CallerStatement, ForwardUrgency, SessionPhase, StatementAction, UpstreamCode, UpstreamCommand,
 };
 
-/// Time without an answer after which a primary is probed: longer than nearly
-/// all statements, shorter than the usual timeouts.
+/// Time without an answer after which a primary is probed: longer than almost all
+/// statements take, shorter than the usual timeouts.
 const PROBE_AFTER: Duration = Duration::from_millis(300);
-/// Time for which a read waits for one database before the choice is made
-/// again: others may have become free, or may hold the position by now.
-const MOVE_AFTER: Duration = Duration::from_millis(40);
-/// Part of its timeout that a statement must have left to be sent, unless its
-/// database usually answers sooner.
-const SHORTEST_TIME_PART: u32 = 4;
-/// Pause before a database that had no room is asked again.
-const BUSY_PAUSE: Duration = Duration::from_millis(8);
-/// Time for a database to roll a transaction back before its connection is
-/// closed instead.
+/// Time for which a read waits for one database before it chooses again: another
+/// one may have become free or reached the required position.
+const REROUTE_INTERVAL: Duration = Duration::from_millis(40);
+/// A statement is sent only if its timeout divided by this number remains, unless
+/// its database usually answers sooner.
+const MIN_TIME_DIVISOR: u32 = 4;
+/// Pause before a database that refused a statement is tried again.
+const BUSY_RETRY_PAUSE: Duration = Duration::from_millis(8);
+/// Time for a database to roll back a transaction, after which its connection is
+/// closed.
 pub(super) const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a database could not be reached.
+/// Pause after a failed attempt to reach a database or gateway.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(20);
 
-/// A connection to run on, and in which term if it is the primary's.
-pub(super) struct RunPlace {
-    pub(super) link: PooledLink,
+/// A connection assigned to a statement or transaction.
+pub(super) struct AssignedConnection {
+    pub(super) pooled: PooledLink,
     pub(super) service: Arc<str>,
-    /// The term if the connection leads to the primary.
-    pub(super) number: Option<u64>,
-    /// Position that a replica must hold.
+    /// Number of the term, if the connection leads to the primary.
+    pub(super) term_number: Option<u64>,
+    /// Position that a replica must have applied.
     pub(super) after: Option<LogPosition>,
-    /// What a home is told before the first statement.
+    /// Sent to a gateway ahead of the first statement.
     urgency: Option<ForwardUrgency>,
-    pub(super) _guard: Option<WriteGuard>,
+    pub(super) _write_guard: Option<WriteGuard>,
 }
 
-impl RunPlace {
-    /// A connection of this host's own to a database, for another host.
-    pub(super) fn for_forward(link: PooledLink, service: Arc<str>) -> Self {
-        Self { link, service, number: None, after: None, urgency: None, _guard: None }
+impl AssignedConnection {
+    /// A direct connection to a database that runs another host's statements.
+    pub(super) fn for_forward(pooled: PooledLink, service: Arc<str>) -> Self {
+        Self { pooled, service, term_number: None, after: None, urgency: None, _write_guard: None }
     }
 
-    /// Appends what the home needs to order the next statement, if there is one
-    /// on the way.
+    /// Appends the urgency by which the gateway orders the next statement, if the
+    /// connection leads through a gateway.
     pub(super) fn encode_urgency(&self, shared: &EntryShared, out: &mut Vec<u8>) {
         if let Some(urgency) = self.urgency {
             shared.upstreams.encode_command(out, UpstreamCommand::Urgency(urgency));
@@ -65,33 +65,33 @@
     }
 }
 
-/// Why there is no place to run.
+/// Why no connection was assigned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum NoPlace {
-    /// The time was up before a connection was had.
+pub(super) enum AssignError {
+    /// No connection became free in time.
     NoConnection,
-    /// The time was up before the primary could be used.
+    /// No primary became usable in time.
     NoPrimary,
 }
 
-/// What a statement may use until when.
+/// Requirements and time limits of a statement.
 pub(super) struct RunLimits<'a> {
     pub(super) route: &'a RouteRule,
-    /// Since when the caller has waited, as far as this host can tell.
+    /// Earliest time from which this host knows that the caller waits.
     pub(super) arrived: Moment,
     pub(super) deadline: Instant,
     pub(super) needs_primary: bool,
-    /// Another database may turn out better while it waits for one.
-    pub(super) may_move: bool,
+    /// The database may be chosen again while the statement waits for a connection.
+    pub(super) may_reroute: bool,
     pub(super) writes: bool,
     pub(super) last_commit: Option<LogPosition>,
 }
 
 impl RunLimits<'_> {
-    /// Until when it waits for a connection. What waited for half of its time
-    /// was overtaken by newer statements all the while; its caller does better
-    /// to know now, with time for another attempt.
-    fn connect_by(&self) -> Instant {
+    /// Time at which waiting for a connection ends. A statement that has waited
+    /// for half of its timeout has been overtaken by newer ones all along; failing
+    /// it now leaves its caller time for another attempt.
+    fn connect_deadline(&self) -> Instant {
         self.deadline - self.route.timeout / 2
     }
 
@@ -104,13 +104,14 @@
     }
 }
 
-/// Finds a database that may run the statement, and a connection to it.
-pub(super) async fn find_place(
+/// Chooses a database that may run the statement and acquires a connection to it.
+/// Databases that are ruled out for further attempts are added to `tried`.
+pub(super) async fn assign_connection(
     shared: &Rc<EntryShared>,
     limits: &RunLimits<'_>,
     tried: &mut Vec<InstanceKey>,
     trace: &mut RequestTrace,
-) -> Result<RunPlace, NoPlace> {
+) -> Result<AssignedConnection, AssignError> {
     let service = &limits.route.service;
     let statement = QueuedStatement {
         arrived: limits.arrived,
@@ -120,92 +121,111 @@
     loop {
         let now = shared.now();
         let changed = shared.changed.notified();
-        let (record, number, after) = match choose(shared, now, limits, tried) {
+        let (record, term_number, after) = match choose_database(shared, now, limits, tried) {
             Some(choice) => choice,
             None => {
-                note_no_primary(shared, now, service, trace);
+                record_wait_for_primary(shared, now, service, trace);
                 if timeout_at(limits.deadline, changed).await.is_err() {
-                    return Err(NoPlace::NoPrimary);
+                    return Err(AssignError::NoPrimary);
                 }
                 continue;
             }
         };
         let expected_ms = shared.view.borrow().loads.get(&record.key).expected_ms(now);
         let instance = record.key.clone();
-        trace.note(now, TraceStep::Routed { instance, term: number, after, expected_ms });
+        trace.record(now, TraceStep::Routed { instance, term: term_number, after, expected_ms });
         let pool = shared.pool(&record);
-        let connect_by = limits.connect_by();
-        let until = match limits.may_move {
-            true => connect_by.min(Instant::now() + MOVE_AFTER),
-            false => connect_by,
+        let connect_deadline = limits.connect_deadline();
+        let until = match limits.may_reroute {
+            true => connect_deadline.min(Instant::now() + REROUTE_INTERVAL),
+            false => connect_deadline,
         };
         shared.view.borrow_mut().loads.record_start(&record.key);
         let acquired = pool.acquire(shared, statement, until).await;
         shared.view.borrow_mut().loads.record_finish(&record.key, None);
         let (at, got) = (shared.now(), acquired.is_ok());
-        trace.note(at, TraceStep::Queued { waited: at.since(now), got });
+        trace.record(at, TraceStep::Queued { waited: at.since(now), got });
         match acquired {
-            Err(AcquireError::OutOfTime) if Instant::now() < connect_by => continue,
-            Ok(link) => {
-                if let (Some(number), Some(position)) = (number, link.opened_at) {
+            Err(AcquireError::OutOfTime) if Instant::now() < connect_deadline => continue,
+            Ok(pooled) => {
+                if let (Some(term_number), Some(position)) = (term_number, pooled.position_at_open)
+                {
                     let mut view = shared.view.borrow_mut();
-                    view.record_primary_position(shared.now(), service, number, now, position);
+                    view.record_primary_position(shared.now(), service, term_number, now, position);
                 }
-                if !has_time(shared, limits, &record.key) {
-                    link.release();
-                    return Err(NoPlace::NoConnection);
+                if !has_time_left(shared, limits, &record.key) {
+                    pooled.release();
+                    return Err(AssignError::NoConnection);
                 }
-                if !still_usable(shared, service, number) {
-                    link.release();
+                if !is_still_usable(shared, service, term_number) {
+                    pooled.release();
                     continue;
                 }
                 if !limits.writes {
-                    shared.metrics.count_read(number.is_some());
+                    shared.metrics.count_read(term_number.is_some());
                 }
-                let guard = number.map(|number| shared.begin_write(service, number));
+                let guard = term_number.map(|term_number| shared.begin_write(service, term_number));
                 let guard = guard.filter(|_| limits.writes);
-                let urgency = link.home().map(|_| limits.urgency(shared.now()));
+                let urgency = pooled.gateway().map(|_| limits.urgency(shared.now()));
                 let service = service.clone();
-                return Ok(RunPlace { link, service, number, after, urgency, _guard: guard });
+                return Ok(AssignedConnection {
+                    pooled,
+                    service,
+                    term_number,
+                    after,
+                    urgency,
+                    _write_guard: guard,
+                });
             }
             Err(AcquireError::OutOfTime) => {
                 pool.log_exhausted(&trace.id);
-                return Err(NoPlace::NoConnection);
+                return Err(AssignError::NoConnection);
             }
-            Err(AcquireError::Misrouted | AcquireError::Unreachable) if pool.home().is_some() => {
-                pool.home().into_iter().for_each(|home| shared.avoid_home(home));
+            Err(AcquireError::Misrouted | AcquireError::Unreachable)
+                if pool.gateway().is_some() =>
+            {
+                pool.gateway().into_iter().for_each(|gateway| shared.avoid_gateway(gateway));
                 sleep(UNREACHABLE_PAUSE).await;
                 if Instant::now() >= limits.deadline {
-                    return Err(NoPlace::NoConnection);
+                    return Err(AssignError::NoConnection);
                 }
                 continue;
             }
-            Err(AcquireError::Misrouted) => note_failure(shared, &record.key, None, service),
-            Err(AcquireError::Unreachable) => note_failure(shared, &record.key, number, service),
+            Err(AcquireError::Misrouted) => record_failure(shared, &record.key, None, service),
+            Err(AcquireError::Unreachable) => {
+                record_failure(shared, &record.key, term_number, service)
+            }
         }
-        match number {
+        match term_number {
             Some(_) => sleep(UNREACHABLE_PAUSE).await,
             None => tried.push(record.key),
         }
         if Instant::now() >= limits.deadline {
-            return Err(NoPlace::NoConnection);
+            return Err(AssignError::NoConnection);
         }
     }
 }
 
-/// Notes once in a row that no primary may be used.
-fn note_no_primary(shared: &EntryShared, now: Moment, service: &str, trace: &mut RequestTrace) {
+/// Records that no primary may be used, unless that was the last recorded step.
+fn record_wait_for_primary(
+    shared: &EntryShared,
+    now: Moment,
+    service: &str,
+    trace: &mut RequestTrace,
+) {
     if trace.waits_for_primary() {
         return;
     }
     let view = shared.view.borrow();
     let term = view.term(service).map(|term| term.number);
-    trace.note(now, TraceStep::WaitedForPrimary { has_lease: view.has_lease(now), term });
+    trace.record(now, TraceStep::WaitedForPrimary { has_lease: view.has_lease(now), term });
 }
 
+/// A database, the term if it is the primary, and the position that a replica must
+/// have applied.
 type DatabaseChoice = (InstanceRecord, Option<u64>, Option<LogPosition>);
 
-fn choose(
+fn choose_database(
     shared: &EntryShared,
     now: Moment,
     limits: &RunLimits<'_>,
@@ -222,71 +242,75 @@
         }
     }
     match view.primary(now, service) {
-        PrimaryAvailability::Usable { record, number } => Some((record, Some(number), None)),
+        PrimaryAvailability::Usable { record, number: term_number } => {
+            Some((record, Some(term_number), None))
+        }
         PrimaryAvailability::Unavailable => None,
     }
 }
 
-/// True if the database will probably answer in time. A statement that is sent
-/// without time for an answer can only end in doubt.
-fn has_time(shared: &EntryShared, limits: &RunLimits<'_>, key: &InstanceKey) -> bool {
+/// True if the database will probably answer in time. A statement that is sent with
+/// too little time left for an answer can only end with an unknown outcome.
+fn has_time_left(shared: &EntryShared, limits: &RunLimits<'_>, key: &InstanceKey) -> bool {
     let left = limits.deadline.saturating_duration_since(Instant::now());
     let usual = shared.view.borrow().loads.get(key).usual_latency();
-    left >= usual.min(limits.route.timeout / SHORTEST_TIME_PART)
+    left >= usual.min(limits.route.timeout / MIN_TIME_DIVISOR)
 }
 
-/// True if the primary of the term may still be used; replicas always may.
-fn still_usable(shared: &EntryShared, service: &str, number: Option<u64>) -> bool {
-    let Some(number) = number else {
+/// True for replicas, and for a primary whose term is still the usable one.
+fn is_still_usable(shared: &EntryShared, service: &str, term_number: Option<u64>) -> bool {
+    let Some(term_number) = term_number else {
         return true;
     };
     let usable = shared.view.borrow().primary(shared.now(), service);
-    matches!(usable, PrimaryAvailability::Usable { number: current, .. } if current == number)
+    matches!(usable, PrimaryAvailability::Usable { number: current, .. } if current == term_number)
 }
 
-/// Notes that a database broke off or could not be reached.
-pub(super) fn note_failure(
+/// Records that a database closed the connection, did not answer or could not be
+/// reached, and probes it if it is the primary of a term.
+pub(super) fn record_failure(
     shared: &Rc<EntryShared>,
     key: &InstanceKey,
-    number: Option<u64>,
+    term_number: Option<u64>,
     service: &Arc<str>,
 ) {
     shared.view.borrow_mut().loads.record_unreachable(shared.now(), key);
-    if let Some(number) = number {
-        probe_primary(shared, service, number);
+    if let Some(term_number) = term_number {
+        probe_primary(shared, service, term_number);
     }
 }
 
-/// Runs one exchange at a place until `deadline`, and learns from the answer.
-pub(super) async fn run_at(
+/// Sends `out` over a connection and reads the answer until `deadline`. Updates the
+/// latency, load and position of the database that later choices are based on.
+pub(super) async fn run_exchange(
     shared: &Rc<EntryShared>,
-    place: &mut RunPlace,
+    connection: &mut AssignedConnection,
     out: &[u8],
-    restoring: usize,
+    restore_count: usize,
     deadline: Instant,
     trace: &mut RequestTrace,
 ) -> Result<UpstreamAnswer, LinkError> {
-    let key = place.link.record().key.clone();
-    let (service, number) = (place.service.clone(), place.number);
-    let Some(link) = place.link.link() else {
+    let key = connection.pooled.record().key.clone();
+    let (service, term_number) = (connection.service.clone(), connection.term_number);
+    let Some(link) = connection.pooled.link() else {
         return Err(LinkError::Broken);
     };
     let sent_at = shared.now();
     shared.view.borrow_mut().loads.record_start(&key);
-    let exchange = link.exchange(&*shared.upstreams, out, restoring);
-    let result = watch_exchange(shared, &service, number, deadline, exchange).await;
+    let exchange = link.exchange(&*shared.upstreams, out, restore_count);
+    let result = watch_exchange(shared, &service, term_number, deadline, exchange).await;
     let now = shared.now();
     let sent = TraceStep::Sent {
         instance: key.clone(),
         took: now.since(sent_at),
         result: result_name(&result),
     };
-    trace.note(now, sent);
+    trace.record(now, sent);
     if let Ok(answer) = &result {
         let busy = answer.end == AnswerEnd::Refused(UpstreamCode::Busy);
-        place.link.note_answer(busy);
-        if let Some(home) = place.link.home() {
-            shared.note_home(&key, home, now.since(sent_at), busy);
+        connection.pooled.record_answer(busy);
+        if let Some(gateway) = connection.pooled.gateway() {
+            shared.record_gateway_answer(&key, gateway, now.since(sent_at), busy);
         }
     }
     let mut view = shared.view.borrow_mut();
@@ -299,16 +323,16 @@
         }
         if let Some(position) = answer.position {
             view.loads.record_position(&key, position);
-            if let Some(number) = number {
-                view.record_primary_position(now, &service, number, sent_at, position);
+            if let Some(term_number) = term_number {
+                view.record_primary_position(now, &service, term_number, sent_at, position);
             }
         }
     }
     drop(view);
-    if let (Err(LinkError::Broken), Some(home)) = (&result, place.link.home()) {
-        shared.avoid_home(home);
+    if let (Err(LinkError::Broken), Some(gateway)) = (&result, connection.pooled.gateway()) {
+        shared.avoid_gateway(gateway);
     } else if matches!(result, Err(LinkError::Broken | LinkError::TimedOut)) {
-        note_failure(shared, &key, number, &service);
+        record_failure(shared, &key, term_number, &service);
     }
     result
 }
@@ -325,33 +349,33 @@
     }
 }
 
-/// Waits for an answer; probes a primary that is slow to answer, and gives up
-/// on one that was replaced.
+/// Waits for an answer until `deadline`. Probes a primary that is slow to answer,
+/// and fails with `TermChanged` if it was replaced.
 async fn watch_exchange(
     shared: &Rc<EntryShared>,
     service: &Arc<str>,
-    number: Option<u64>,
+    term_number: Option<u64>,
     deadline: Instant,
     exchange: impl Future<Output = Result<UpstreamAnswer, LinkError>>,
 ) -> Result<UpstreamAnswer, LinkError> {
     let mut exchange = pin!(exchange);
-    let mut probe_at = number.map(|_| Instant::now() + PROBE_AFTER);
+    let mut probe_at = term_number.map(|_| Instant::now() + PROBE_AFTER);
     loop {
         let wake_at = probe_at.map_or(deadline, |at| at.min(deadline));
         tokio::select! {
             biased;
             result = &mut exchange => return result,
-            () = sleep_until(wake_at) => match (probe_at.take(), number) {
-                (Some(at), Some(number)) if at < deadline => {
-                    probe_primary(shared, service, number);
+            () = sleep_until(wake_at) => match (probe_at.take(), term_number) {
+                (Some(at), Some(term_number)) if at < deadline => {
+                    probe_primary(shared, service, term_number);
                 }
                 _ => return Err(LinkError::TimedOut),
             },
-            () = shared.changed.notified(), if number.is_some() => {
+            () = shared.changed.notified(), if term_number.is_some() => {
                 let view = shared.view.borrow();
                 let term = view.term(service);
-                let current = number.is_some_and(|number| {
-                    term.is_some_and(|term| term.accepts_answers(number))
+                let current = term_number.is_some_and(|term_number| {
+                    term.is_some_and(|term| term.accepts_answers(term_number))
                 });
                 if !current {
                     return Err(LinkError::TermChanged);
@@ -361,8 +385,8 @@
     }
 }
 
-/// Appends what restores the session, then the begin of a transaction; returns
-/// how many statements come before it.
+/// Appends the statements that restore the session state, then the BEGIN of a
+/// transaction; returns the number of restoring statements.
 pub(super) fn encode_begin(
     shared: &EntryShared,
     link: &mut UpstreamLink,
@@ -378,8 +402,8 @@
     steps.len()
 }
 
-/// Appends what restores the session, then the statement; returns how many
-/// statements come before it.
+/// Appends the statements that restore the session state, then the statement;
+/// returns the number of restoring statements.
 pub(super) fn encode_statement(
     shared: &EntryShared,
     link: &mut UpstreamLink,
@@ -398,7 +422,7 @@
         return steps.len();
     };
     let Some(prepared) = session.prepared.get(name) else {
-        // The caller's session refuses unknown names before it comes here.
+        // Unreachable: unknown names are refused before this function is called.
         return steps.len();
     };
     let (name, step) = link.state.prepared_name(prepared);
@@ -409,10 +433,10 @@
     steps.len()
 }
 
-/// Rolls a transaction back at its database, without making anyone wait.
-pub(super) fn roll_back_place(shared: &Rc<EntryShared>, mut place: RunPlace) {
+/// Rolls back a transaction in a background task.
+pub(super) fn spawn_rollback(shared: &Rc<EntryShared>, mut connection: AssignedConnection) {
     if shared.cancel.is_cancelled() {
-        // The database rolls back when the connection closes.
+        // Dropping the connection closes it, and the database rolls back.
         return;
     }
     let task = shared.clone();
@@ -421,19 +445,20 @@
         task.upstreams.encode_command(&mut out, UpstreamCommand::Rollback);
         let deadline = Instant::now() + ROLLBACK_TIMEOUT;
         let mut trace = RequestTrace::new(b"-", task.now());
-        let answer = run_at(&task, &mut place, &out, 0, deadline, &mut trace).await;
+        let answer = run_exchange(&task, &mut connection, &out, 0, deadline, &mut trace).await;
         if answer.is_ok_and(|answer| answer.phase == SessionPhase::Idle) {
-            place.link.release();
+            connection.pooled.release();
         }
     });
 }
 
-/// Waits before a database without room is asked again; false if the time is
-/// up.
-pub(super) async fn pause_busy(shared: &EntryShared, deadline: Instant) -> bool {
-    // The boot clock's low bits spread the hosts' attempts.
+/// Pauses before a retry at a database that refused a statement; returns false at
+/// once if the pause would reach `deadline`.
+pub(super) async fn pause_before_retry(shared: &EntryShared, deadline: Instant) -> bool {
+    // The low bits of the boot clock serve as jitter, which spreads the retries of
+    // the hosts.
     let jitter = Duration::from_micros(shared.now().as_micros() % 8_000);
-    let until = Instant::now() + BUSY_PAUSE + jitter;
+    let until = Instant::now() + BUSY_RETRY_PAUSE + jitter;
     if until >= deadline {
         return false;
     }
--- a/crates/daemon/src/entry_role/upstream_link.rs
+++ b/crates/daemon/src/entry_role/upstream_link.rs
@@ -15,66 +15,66 @@
     links::{LineStream, prepare_socket},
 };
 
-/// Time for a TCP connection to a database: many times the way across a
+/// Timeout for a TCP connection to a database: many times the round trip across a
 /// region, and below the shortest statement timeouts.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for a database to take a connection, which waits for a slot there.
+/// Timeout for a database to accept a connection, which waits for a slot there.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Silence on a connection with unacknowledged data after which it is broken.
-const UPSTREAM_SILENCE: Duration = Duration::from_millis(600);
+/// Time that sent data may stay unacknowledged before a connection counts as broken.
+const UPSTREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Why a connection was not opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OpenError {
-    /// The database did not answer.
+    /// The database did not answer, or refused for another reason.
     Unreachable,
-    /// The database takes no more connections.
+    /// The database accepts no more connections.
     Full,
-    /// Another database stands at the address.
+    /// The database at the address is not the expected one.
     Misrouted,
 }
 
-/// Why a statement has no answer.
+/// Why a statement got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LinkError {
-    /// The connection broke.
+    /// The connection failed, a reply was not valid, or the session could not be
+    /// restored.
     Broken,
-    /// The time was up.
+    /// The deadline passed.
     TimedOut,
     /// The database is no longer the primary of the term.
     TermChanged,
 }
 
-/// How a statement's answer ended.
+/// How an answer ended: with a result or a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AnswerEnd {
     Done,
     Refused(UpstreamCode),
 }
 
-/// A database's whole answer to one statement.
+/// The complete answer of a database to one statement.
 #[derive(Debug)]
 pub(super) struct UpstreamAnswer {
-    /// Rows, result and refusal as they came.
+    /// Rows and result or refusal, encoded as received.
     pub(super) body: Vec<u8>,
     pub(super) end: AnswerEnd,
     pub(super) phase: SessionPhase,
     pub(super) position: Option<LogPosition>,
 }
 
-/// A connection to a database and the session state on it.
+/// A connection to a database, and the session state set on it.
 #[derive(Debug)]
 pub(super) struct UpstreamLink {
     lines: LineStream,
     pub(super) state: ConnectionState,
-    /// When it was opened.
-    pub(super) opened: Instant,
+    pub(super) opened_at: Instant,
 }
 
 impl UpstreamLink {
-    /// Connects to exactly this start of a database, directly or through the
-    /// home at `address`, and returns the position
-    /// that it was at.
+    /// Connects to the database of the record, at its own address or that of a
+    /// gateway, and returns the log position that it reported. Any other database at
+    /// the address refuses the connection.
     pub(super) async fn open(
         protocol: &dyn UpstreamProtocol,
         record: &InstanceRecord,
@@ -85,20 +85,22 @@
         let Ok(Ok(stream)) = connected else {
             return Err(OpenError::Unreachable);
         };
-        prepare_socket(&stream, UPSTREAM_SILENCE).map_err(|_| OpenError::Unreachable)?;
+        prepare_socket(&stream, UPSTREAM_SILENCE_TIMEOUT).map_err(|_| OpenError::Unreachable)?;
         let (lines, state) = (LineStream::new(stream), ConnectionState::default());
-        let mut link = Self { lines, state, opened: Instant::now() };
+        let mut link = Self { lines, state, opened_at: Instant::now() };
         let mut out = Vec::new();
         let open =
             UpstreamCommand::Open { service: &record.service, caller, instance: &record.key.id };
         protocol.encode_command(&mut out, open);
-        match timeout(OPEN_TIMEOUT, link.opened(protocol, &out)).await {
+        match timeout(OPEN_TIMEOUT, link.complete_open(protocol, &out)).await {
             Ok(Ok(result)) => result.map(|position| (link, position)),
             _ => Err(OpenError::Unreachable),
         }
     }
 
-    async fn opened(
+    /// Sends the open command and reads replies until the connection is ready or
+    /// refused.
+    async fn complete_open(
         &mut self,
         protocol: &dyn UpstreamProtocol,
         out: &[u8],
@@ -120,16 +122,16 @@
         }
     }
 
-    /// Sends statements and reads their answers; `restoring` of them come
-    /// first and must succeed.
+    /// Sends statements and reads their answers. The first `restore_count` of them
+    /// restore the session and must succeed; returns the answer to the last one.
     pub(super) async fn exchange(
         &mut self,
         protocol: &dyn UpstreamProtocol,
         out: &[u8],
-        restoring: usize,
+        restore_count: usize,
     ) -> Result<UpstreamAnswer, LinkError> {
         self.lines.send(out).await.map_err(|_| LinkError::Broken)?;
-        for _ in 0..restoring {
+        for _ in 0..restore_count {
             let answer = self.read_answer(protocol).await?;
             if answer.end != AnswerEnd::Done {
                 return Err(LinkError::Broken);
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Reads one message; all but the end of an answer are kept in `body`.
+    /// Reads one reply and appends it to `body`, unless it ends the answer.
     async fn next_reply(
         &mut self,
         protocol: &dyn UpstreamProtocol,
@@ -179,13 +181,13 @@
         Ok(reply)
     }
 
-    /// True if the connection can be used for another statement.
-    pub(super) fn is_quiet(&self) -> bool {
+    /// True if the connection is still open and no unread data is left on it.
+    pub(super) fn is_reusable(&self) -> bool {
         self.lines.is_quiet()
     }
 }
 
-/// Appends the statements that restore a session.
+/// Appends the statements that restore the session state.
 pub(super) fn encode_steps(
     protocol: &dyn UpstreamProtocol,
     out: &mut Vec<u8>,
