--- a/crates/daemon/src/journal/journal_file.rs
+++ b/crates/daemon/src/journal/journal_file.rs
@@ -12,13 +12,13 @@
     kernel_error::{DataFolderSnafu, JournalDamagedSnafu},
 };
 
-/// Name of the journal in the data folder.
-const JOURNAL_NAME: &str = "journal";
-/// Name of a journal that is being rewritten.
-const REWRITTEN_NAME: &str = "journal.new";
-/// Marks the start of a record.
-const RECORD_MARK: [u8; 4] = *b"HSJ1";
-/// Bytes before a record's body: mark, length, checksum.
+/// File name of the journal in the data folder.
+const JOURNAL_FILE_NAME: &str = "journal";
+/// File name of the rewritten journal until it replaces the old one.
+const REWRITTEN_FILE_NAME: &str = "journal.new";
+/// Magic bytes at the start of a record.
+const RECORD_MAGIC: [u8; 4] = *b"HSJ1";
+/// Bytes before a record's body: magic bytes, length, checksum.
 const HEADER_BYTES: usize = 12;
 /// Largest body of a record, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
@@ -31,22 +31,23 @@
     file: File,
 }
 
-/// What stands at one place of the file.
-enum RecordFound {
-    Whole { record: Box<JournalRecord>, end: usize },
-    Broken,
+/// Result of reading a record at an offset of the file.
+enum ParsedRecord {
+    Valid { record: Box<JournalRecord>, end: usize },
+    Invalid,
 }
 
 impl JournalFile {
-    /// Opens the journal in `folder` and returns its records. A record that
-    /// was cut off at the end is dropped.
+    /// Opens the journal in `folder` and returns its records. Creates the folder
+    /// and the file if they are missing. An invalid record at the end, left by an
+    /// incomplete write, is cut off.
     ///
     /// # Errors
-    /// `KernelError::JournalDamaged` if whole records follow a broken one;
+    /// `KernelError::JournalDamaged` if a valid record follows an invalid one;
     /// `KernelError::DataFolder` if the file cannot be used.
     pub fn open(folder: &Path) -> Result<(Self, Vec<JournalRecord>), KernelError> {
         fs::create_dir_all(folder).context(DataFolderSnafu { path: folder })?;
-        let path = folder.join(JOURNAL_NAME);
+        let path = folder.join(JOURNAL_FILE_NAME);
         let bytes = match fs::read(&path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == io::ErrorKind::NotFound => Vec::new(),
@@ -56,35 +57,37 @@
         let mut end = 0;
         while end < bytes.len() {
             match read_record(&bytes, end) {
-                RecordFound::Whole { record, end: next } => {
+                ParsedRecord::Valid { record, end: next } => {
                     records.push(*record);
                     end = next;
                 }
-                RecordFound::Broken if whole_record_follows(&bytes, end) => {
+                ParsedRecord::Invalid if has_valid_record_after(&bytes, end) => {
                     return JournalDamagedSnafu { path, offset: end as u64 }.fail();
                 }
-                RecordFound::Broken => break,
+                ParsedRecord::Invalid => break,
             }
         }
-        let file = Self::open_at(&path, end as u64).context(DataFolderSnafu { path: &path })?;
+        let file =
+            Self::open_truncated(&path, end as u64).context(DataFolderSnafu { path: &path })?;
         sync_folder(folder).context(DataFolderSnafu { path: folder })?;
         Ok((Self { folder: folder.to_owned(), file }, records))
     }
 
-    fn open_at(path: &Path, end: u64) -> io::Result<File> {
+    fn open_truncated(path: &Path, length: u64) -> io::Result<File> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
-        file.set_len(end)?;
+        file.set_len(length)?;
         file.sync_all()?;
         Ok(file)
     }
 
-    /// Appends records and returns once they are synced.
+    /// Appends records and returns once they are synced. A snapshot among them
+    /// causes the file to be rewritten.
     ///
     /// # Errors
-    /// The system's error; the journal must not be used after one.
+    /// The system's error; the journal must then be opened again before use.
     pub fn append(&mut self, records: &[JournalRecord]) -> io::Result<()> {
-        let replaces = records.iter().any(|r| matches!(r, JournalRecord::Snapshot(_)));
-        if replaces {
+        let has_snapshot = records.iter().any(|r| matches!(r, JournalRecord::Snapshot(_)));
+        if has_snapshot {
             return self.rewrite(records);
         }
         let mut bytes = Vec::new();
@@ -95,23 +98,23 @@
         self.file.sync_data()
     }
 
-    /// Writes a new file that begins with the newest snapshot, then puts it in
-    /// place of the old one.
+    /// Writes the compacted records to a new file and renames it over the old
+    /// one.
     fn rewrite(&mut self, added: &[JournalRecord]) -> io::Result<()> {
-        let path = self.folder.join(JOURNAL_NAME);
+        let path = self.folder.join(JOURNAL_FILE_NAME);
         let bytes = fs::read(&path)?;
         let mut records = Vec::new();
         let mut end = 0;
-        while let RecordFound::Whole { record, end: next } = read_record(&bytes, end) {
+        while let ParsedRecord::Valid { record, end: next } = read_record(&bytes, end) {
             records.push(*record);
             end = next;
         }
         records.extend(added.iter().cloned());
         let mut rewritten = Vec::new();
-        for record in compacted(records) {
+        for record in compact_records(records) {
             write_record(&mut rewritten, &record)?;
         }
-        let new_path = self.folder.join(REWRITTEN_NAME);
+        let new_path = self.folder.join(REWRITTEN_FILE_NAME);
         let mut file = File::create(&new_path)?;
         file.write_all(&rewritten)?;
         file.sync_all()?;
@@ -122,8 +125,8 @@
     }
 }
 
-/// Keeps the newest vote, the newest snapshot and the entries after it.
-fn compacted(records: Vec<JournalRecord>) -> Vec<JournalRecord> {
+/// Keeps the newest hard state, the newest snapshot and the entries after it.
+fn compact_records(records: Vec<JournalRecord>) -> Vec<JournalRecord> {
     let mut hard = None;
     let mut snapshot = None;
     let mut entries = Vec::new();
@@ -146,42 +149,42 @@
 fn write_record(bytes: &mut Vec<u8>, record: &JournalRecord) -> io::Result<()> {
     let mut body = Vec::new();
     ciborium::into_writer(record, &mut body).map_err(io::Error::other)?;
-    bytes.extend_from_slice(&RECORD_MARK);
+    bytes.extend_from_slice(&RECORD_MAGIC);
     bytes.extend_from_slice(&(body.len() as u32).to_be_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&body).to_be_bytes());
     bytes.extend_from_slice(&body);
     Ok(())
 }
 
-fn read_record(bytes: &[u8], start: usize) -> RecordFound {
+fn read_record(bytes: &[u8], start: usize) -> ParsedRecord {
     let Some(header) = bytes.get(start..start + HEADER_BYTES) else {
-        return RecordFound::Broken;
+        return ParsedRecord::Invalid;
     };
-    let number = |at: usize| {
+    let read_u32 = |at: usize| {
         u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]])
     };
-    let length = number(4) as usize;
-    if header[..4] != RECORD_MARK || length > MAX_BODY_BYTES {
-        return RecordFound::Broken;
+    let length = read_u32(4) as usize;
+    if header[..4] != RECORD_MAGIC || length > MAX_BODY_BYTES {
+        return ParsedRecord::Invalid;
     }
     let end = start + HEADER_BYTES + length;
     let Some(body) = bytes.get(start + HEADER_BYTES..end) else {
-        return RecordFound::Broken;
+        return ParsedRecord::Invalid;
     };
-    if crc32fast::hash(body) != number(8) {
-        return RecordFound::Broken;
+    if crc32fast::hash(body) != read_u32(8) {
+        return ParsedRecord::Invalid;
     }
     match ciborium::from_reader(body) {
-        Ok(record) => RecordFound::Whole { record: Box::new(record), end },
-        Err(_) => RecordFound::Broken,
+        Ok(record) => ParsedRecord::Valid { record: Box::new(record), end },
+        Err(_) => ParsedRecord::Invalid,
     }
 }
 
-/// True if a whole record begins anywhere after the broken one at `start`.
-fn whole_record_follows(bytes: &[u8], start: usize) -> bool {
+/// True if a valid record begins anywhere after the invalid one at `start`.
+fn has_valid_record_after(bytes: &[u8], start: usize) -> bool {
     (start + 1..bytes.len().saturating_sub(HEADER_BYTES))
-        .filter(|at| bytes[*at..].starts_with(&RECORD_MARK))
-        .any(|at| matches!(read_record(bytes, at), RecordFound::Whole { .. }))
+        .filter(|at| bytes[*at..].starts_with(&RECORD_MAGIC))
+        .any(|at| matches!(read_record(bytes, at), ParsedRecord::Valid { .. }))
 }
 
 fn sync_folder(folder: &Path) -> io::Result<()> {
--- a/crates/daemon/src/journal/journal_service.rs
+++ b/crates/daemon/src/journal/journal_service.rs
@@ -6,32 +6,32 @@
 use super::JournalFile;
 use crate::pg_host::HostMessage;
 
-/// Requests to the journal.
+/// Messages to the [`JournalService`].
 #[derive(Debug)]
 pub enum JournalMessage {
     /// Append records, sync, and report the number to the host.
     Persist {
-        /// Number to report.
+        /// Number to report once the records are synced.
         number: u64,
         /// Records in order.
         records: Vec<JournalRecord>,
     },
 }
 
-/// Writes the voter's journal, one batch after the other.
+/// Actor that writes the voter's journal, one batch at a time.
 #[derive(Debug)]
 pub struct JournalService;
 
-/// What the service needs at its start.
+/// Start arguments of a [`JournalService`].
 #[derive(Debug)]
 pub struct JournalArguments {
     /// The open journal.
     pub file: JournalFile,
-    /// Where to report.
+    /// Actor that gets the numbers of synced batches.
     pub host: ActorRef<HostMessage>,
 }
 
-/// What the service holds while it runs.
+/// State of a running [`JournalService`].
 #[derive(Debug)]
 pub struct JournalState {
     file: Arc<Mutex<JournalFile>>,
@@ -60,19 +60,23 @@
     ) -> Result<(), ActorProcessingErr> {
         let JournalMessage::Persist { number, records } = message;
         let file = state.file.clone();
-        let written = tokio::task::spawn_blocking(move || {
+        let result = tokio::task::spawn_blocking(move || {
             let mut file = file.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
             file.append(&records)
         })
         .await?;
-        match written {
+        match result {
             Ok(()) => {
                 let _ = state.host.send_message(HostMessage::Event(HostEvent::Persisted(number)));
             }
             Err(error) => {
-                // Without a report nothing that depends on the records is
-                // sent, so the voter falls silent instead of forgetting.
-                log::error!(target: "journal", "The journal cannot be written: {error}.");
+                // The number is not reported, so the host sends nothing that
+                // depends on these records: a voter that cannot store its
+                // state stops answering instead of losing what it promised.
+                log::error!(
+                    target: "journal",
+                    "The journal cannot be written: {error}. The journal service stops."
+                );
                 myself.stop(None);
             }
         }
--- a/crates/daemon/src/journal/mod.rs
+++ b/crates/daemon/src/journal/mod.rs
@@ -1,4 +1,5 @@
-//! The voter's journal: checksummed records that count once synced.
+//! The voter's journal: checksummed records that count only once they are
+//! synced.
 
 mod journal_file;
 mod journal_service;
--- a/crates/daemon/tests/journal_damage.rs
+++ b/crates/daemon/tests/journal_damage.rs
@@ -1,4 +1,4 @@
-//! The journal after cuts, damage and rewriting.
+//! Opens the journal after a truncation, a damaged byte and a rewrite.
 
 use std::path::PathBuf;
 
@@ -9,9 +9,9 @@
     identity::HostId,
 };
 
-struct Folder(PathBuf);
+struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     fn new(name: &str) -> Self {
         let folder =
             std::env::temp_dir().join(format!("hawthornstack-{name}-{}", std::process::id()));
@@ -24,7 +24,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -40,7 +40,7 @@
     vec![JournalRecord::Hard(hard), entry(1), entry(2), entry(3)]
 }
 
-fn written(folder: &Folder) -> Vec<u8> {
+fn write_journal(folder: &TempFolder) -> Vec<u8> {
     let (mut file, found) = JournalFile::open(&folder.0).unwrap();
     assert!(found.is_empty());
     for record in records() {
@@ -49,10 +49,12 @@
     std::fs::read(folder.file()).unwrap()
 }
 
+/// A crash during a write can cut the file off at any byte: all records before
+/// the cut must be read, and appended records must be readable after them.
 #[test]
-fn cut_anywhere() {
-    let folder = Folder::new("cut");
-    let whole = written(&folder);
+fn truncation_at_any_byte() {
+    let folder = TempFolder::new("cut");
+    let whole = write_journal(&folder);
     let mut most = 0;
     for length in 0..=whole.len() {
         std::fs::write(folder.file(), &whole[..length]).unwrap();
@@ -69,24 +71,28 @@
     assert_eq!(most, records().len());
 }
 
+/// A damaged byte before the last record must be reported. If it were treated
+/// like a truncation, synced records after it would be lost.
 #[test]
-fn damage_in_the_middle() {
-    let folder = Folder::new("damage");
-    let whole = written(&folder);
+fn damage_before_last_record() {
+    let folder = TempFolder::new("damage");
+    let whole = write_journal(&folder);
     let last = whole.windows(4).rposition(|at| at == b"HSJ1").unwrap();
-    for place in 0..last {
+    for offset in 0..last {
         let mut damaged = whole.clone();
-        damaged[place] ^= 0x40;
+        damaged[offset] ^= 0x40;
         std::fs::write(folder.file(), &damaged).unwrap();
         let error = JournalFile::open(&folder.0).unwrap_err().to_string();
-        assert!(error.contains("601"), "byte {place}: {error}");
+        assert!(error.contains("601"), "byte {offset}: {error}");
     }
 }
 
+/// Appending a snapshot rewrites the file: entries up to the snapshot's index are
+/// dropped, the hard state and later entries stay.
 #[test]
 fn snapshot_replaces_beginning() {
-    let folder = Folder::new("snapshot");
-    let before = written(&folder).len();
+    let folder = TempFolder::new("snapshot");
+    let before = write_journal(&folder).len();
     let (mut file, _) = JournalFile::open(&folder.0).unwrap();
     let snapshot = StateSnapshot {
         index: 2,
