--- a/crates/daemon/src/clock/mod.rs
+++ b/crates/daemon/src/clock/mod.rs
@@ -1,4 +1,4 @@
-//! The clock that leases are counted on.
+//! The clock by which leases are timed.
 
 mod boot_clock;
 
--- a/crates/daemon/src/metrics/daemon_metrics.rs
+++ b/crates/daemon/src/metrics/daemon_metrics.rs
@@ -7,7 +7,8 @@
 
 use super::{MetricsError, metric_registry::MetricRegistry};
 
-/// Names of all metrics with their units, as `docs/METRICS.md` lists them.
+/// Names and descriptions, with units, of all metrics of a daemon, as
+/// `docs/METRICS.md` lists them.
 pub const METRIC_NAMES: [(&str, &str); 5] = [
     ("hawthornstack_peer_bytes", "bytes sent to and received from other hosts, by kind"),
     ("hawthornstack_peer_messages", "messages sent to and received from other hosts, by kind"),
@@ -16,8 +17,8 @@
     ("hawthornstack_request_seconds", "time from a request's arrival to its conclusion, seconds"),
 ];
 
-/// Bounds of the histogram of request times, in seconds.
-const TIME_BOUNDS: [f64; 12] =
+/// Bucket bounds of the request time histogram, in seconds.
+const TIME_BOUNDS_SECONDS: [f64; 12] =
     [0.000_5, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0];
 
 /// Whether bytes were sent or received.
@@ -64,14 +65,14 @@
         let registry = MetricRegistry::start()?;
         let meter = registry.meter();
         let counter = |index: usize| {
-            let (name, text) = METRIC_NAMES[index];
-            meter.u64_counter(name).with_description(text).build()
+            let (name, description) = METRIC_NAMES[index];
+            meter.u64_counter(name).with_description(description).build()
         };
-        let (name, text) = METRIC_NAMES[4];
+        let (name, description) = METRIC_NAMES[4];
         let request_seconds = meter
             .f64_histogram(name)
-            .with_description(text)
-            .with_boundaries(TIME_BOUNDS.to_vec())
+            .with_description(description)
+            .with_boundaries(TIME_BOUNDS_SECONDS.to_vec())
             .build();
         Ok(Self {
             peer_bytes: counter(0),
@@ -83,26 +84,26 @@
         })
     }
 
-    /// Counts one frame on a link to another host.
+    /// Counts one frame on a link to another host, and its length in bytes.
     pub fn count_frame(&self, kind: &'static str, direction: TrafficDirection, bytes: usize) {
         let labels = [KeyValue::new("kind", kind), KeyValue::new("direction", direction.as_str())];
         self.peer_bytes.add(bytes as u64, &labels);
         self.peer_messages.add(1, &labels);
     }
 
-    /// Counts a request that was handed to a database.
+    /// Counts a request that was sent to a primary or to a replica.
     pub fn count_dispatch(&self, is_primary: bool) {
         let role = if is_primary { "primary" } else { "replica" };
         self.dispatches.add(1, &[KeyValue::new("role", role)]);
     }
 
-    /// Counts a concluded request and its time.
+    /// Counts a completed request by its result and records its duration.
     pub fn count_request(&self, result: ResultCode, seconds: f64) {
         self.requests.add(1, &[KeyValue::new("code", i64::from(result.number()))]);
         self.request_seconds.record(seconds, &[]);
     }
 
-    /// All metrics in the Prometheus text form.
+    /// All metrics in the Prometheus text format.
     pub fn page(&self) -> String {
         self.registry.page()
     }
--- a/crates/daemon/src/metrics/host_metrics.rs
+++ b/crates/daemon/src/metrics/host_metrics.rs
@@ -5,8 +5,8 @@
 
 use super::{MetricsError, metric_registry::MetricRegistry};
 
-/// Names of the metrics of entry and control hosts with their meaning and
-/// units, as `docs/METRICS.md` lists them.
+/// Names and descriptions, with units, of the metrics of entry and control
+/// hosts, as `docs/METRICS.md` lists them.
 pub const HOST_METRIC_NAMES: [(&str, &str); 17] = [
     ("hawthornstack_statements", "statements answered, by kind of route and outcome"),
     ("hawthornstack_statement_seconds", "time to a statement's answer, by kind of route, seconds"),
@@ -27,9 +27,9 @@
     ("hawthornstack_control_entry_hosts", "entry hosts that may hold a lease"),
 ];
 
-/// Bounds of the histograms, in seconds: from a round trip within a data
-/// centre to the longest statement timeouts.
-const TIME_BOUNDS: [f64; 12] =
+/// Bucket bounds of the time histograms, in seconds: from a round trip within a
+/// data centre to the longest statement timeouts.
+const TIME_BOUNDS_SECONDS: [f64; 12] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 2.0, 10.0];
 
 /// The instruments of an entry or control host.
@@ -42,7 +42,7 @@
     retries: Counter<u64>,
     refusals: Counter<u64>,
     reads: Counter<u64>,
-    left_out: Counter<u64>,
+    log_lines_left_out: Counter<u64>,
     gauges: Vec<(&'static str, Gauge<f64>)>,
 }
 
@@ -52,19 +52,22 @@
     }
 }
 
-fn text_of(name: &str) -> &'static str {
-    HOST_METRIC_NAMES.iter().find(|(known, _)| *known == name).map_or("", |(_, text)| text)
+fn description_of(name: &str) -> &'static str {
+    HOST_METRIC_NAMES
+        .iter()
+        .find(|(known, _)| *known == name)
+        .map_or("", |(_, description)| description)
 }
 
 fn counter(meter: &Meter, name: &'static str) -> Counter<u64> {
-    meter.u64_counter(name).with_description(text_of(name)).build()
+    meter.u64_counter(name).with_description(description_of(name)).build()
 }
 
 fn histogram(meter: &Meter, name: &'static str) -> Histogram<f64> {
     meter
         .f64_histogram(name)
-        .with_description(text_of(name))
-        .with_boundaries(TIME_BOUNDS.to_vec())
+        .with_description(description_of(name))
+        .with_boundaries(TIME_BOUNDS_SECONDS.to_vec())
         .build()
 }
 
@@ -90,7 +93,9 @@
         ];
         let gauges = gauges
             .into_iter()
-            .map(|name| (name, meter.f64_gauge(name).with_description(text_of(name)).build()))
+            .map(|name| {
+                (name, meter.f64_gauge(name).with_description(description_of(name)).build())
+            })
             .collect();
         Ok(Self {
             statements: counter(&meter, "hawthornstack_statements"),
@@ -99,25 +104,25 @@
             retries: counter(&meter, "hawthornstack_retries"),
             refusals: counter(&meter, "hawthornstack_refusals"),
             reads: counter(&meter, "hawthornstack_reads"),
-            left_out: counter(&meter, "hawthornstack_log_lines_left_out"),
+            log_lines_left_out: counter(&meter, "hawthornstack_log_lines_left_out"),
             gauges,
             registry,
         })
     }
 
-    /// Counts an answered statement and its time.
+    /// Counts an answered statement and records its duration.
     pub fn count_statement(&self, route_kind: &'static str, outcome: &'static str, seconds: f64) {
         let kind = KeyValue::new("kind", route_kind);
         self.statement_seconds.record(seconds, std::slice::from_ref(&kind));
         self.statements.add(1, &[kind, KeyValue::new("outcome", outcome)]);
     }
 
-    /// Notes the time that a statement spent in one stage.
+    /// Records the time that a statement spent in a stage (queue, database).
     pub fn record_stage(&self, stage: &'static str, seconds: f64) {
         self.stage_seconds.record(seconds, &[KeyValue::new("stage", stage)]);
     }
 
-    /// Counts an attempt that is repeated.
+    /// Counts a further attempt at a statement.
     pub fn count_retry(&self, reason: &'static str) {
         self.retries.add(1, &[KeyValue::new("reason", reason)]);
     }
@@ -127,7 +132,7 @@
         self.refusals.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts a read that was sent to a database.
+    /// Counts a read that was sent to a primary or to a replica.
     pub fn count_read(&self, is_primary: bool) {
         let role = if is_primary { "primary" } else { "replica" };
         self.reads.add(1, &[KeyValue::new("role", role)]);
@@ -135,17 +140,17 @@
 
     /// Counts log lines that were not written.
     pub fn count_left_out(&self, kind: &'static str, lines: u64) {
-        self.left_out.add(lines, &[KeyValue::new("kind", kind)]);
+        self.log_lines_left_out.add(lines, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Sets a gauge of [`HOST_METRIC_NAMES`].
+    /// Sets a gauge of [`HOST_METRIC_NAMES`]; ignores a name that is no gauge.
     pub fn set(&self, name: &str, value: f64, labels: &[KeyValue]) {
         if let Some((_, gauge)) = self.gauges.iter().find(|(known, _)| *known == name) {
             gauge.record(value, labels);
         }
     }
 
-    /// All metrics in the Prometheus text form.
+    /// All metrics in the Prometheus text format.
     pub fn page(&self) -> String {
         self.registry.page()
     }
--- a/crates/daemon/src/metrics/metric_registry.rs
+++ b/crates/daemon/src/metrics/metric_registry.rs
@@ -3,18 +3,18 @@
 use prometheus::{Encoder, Registry, TextEncoder};
 use snafu::{ResultExt, Snafu};
 
-/// Why metrics cannot be had.
+/// Why the metrics could not be set up.
 #[derive(Debug, Snafu)]
 pub enum MetricsError {
-    /// The exporter refused.
-    #[snafu(display("metrics cannot be exported: {source}"))]
+    /// The Prometheus exporter cannot be built.
+    #[snafu(display("cannot build the metrics exporter: {source}"))]
     Export {
-        /// What it said.
+        /// The SDK's error.
         source: opentelemetry_sdk::error::OTelSdkError,
     },
 }
 
-/// Where a host's instruments are registered.
+/// Registry of a host's instruments, with the provider that builds them.
 #[derive(Clone)]
 pub(super) struct MetricRegistry {
     registry: Registry,
@@ -22,7 +22,7 @@
 }
 
 impl MetricRegistry {
-    /// An empty registry.
+    /// Builds an empty registry and its exporter.
     ///
     /// # Errors
     /// `MetricsError` if the exporter cannot be built.
@@ -39,15 +39,15 @@
         Ok(Self { registry, provider })
     }
 
-    /// Builds instruments.
+    /// Meter that builds instruments in this registry.
     pub(super) fn meter(&self) -> Meter {
         self.provider.meter("hawthornstack")
     }
 
-    /// All metrics in the Prometheus text form.
+    /// All metrics in the Prometheus text format.
     pub(super) fn page(&self) -> String {
         let mut bytes = Vec::new();
-        // Writing text to memory does not fail.
+        // Encoding into memory does not fail.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut bytes);
         String::from_utf8(bytes).unwrap_or_default()
     }
--- a/crates/daemon/src/metrics/mod.rs
+++ b/crates/daemon/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics by OpenTelemetry, in the Prometheus text form.
+//! OpenTelemetry metrics, exported in the Prometheus text format.
 
 mod daemon_metrics;
 mod host_metrics;
