--- a/crates/daemon/src/control_role/control_service.rs
+++ b/crates/daemon/src/control_role/control_service.rs
@@ -24,28 +24,28 @@
 
 use super::{
     journal_thread::JournalThread,
-    peer_links::{LinkEvent, PeerDialler, accept_links},
-    status_pages::status_page,
-    status_question::StatusQuestion,
+    peer_links::{LinkEvent, PeerLink, accept_links},
+    status_page::build_status_page,
+    status_query::StatusQuery,
 };
 use crate::{
     clock::BootClock,
-    edges::{PromotionEdge, PromotionOrder, UpstreamProtocol},
+    edges::{PromotionClient, PromotionOrder, UpstreamProtocol},
     kernel::KernelError,
     links::{bind_listener, host_address},
     metrics::HostMetrics,
 };
 
-/// What a control host is told at its start.
+/// Start options of a control host.
 #[derive(Debug, Clone)]
 pub struct ControlOptions {
-    /// Name of the host, for logs and databases.
+    /// Name of the host in logs, and the client name that it gives to databases.
     pub name: Arc<str>,
-    /// Folder for the journal.
+    /// Folder that holds the journal.
     pub data_folder: PathBuf,
-    /// Port on which control hosts accept links.
+    /// Port on which every control host accepts links from other hosts.
     pub link_port: u16,
-    /// What the decisions are told.
+    /// Settings of the [`ControlHost`].
     pub decisions: ControlSettings,
 }
 
@@ -56,7 +56,7 @@
     Audit(oneshot::Sender<Vec<AuditRecord>>),
 }
 
-/// Talks to a running control host.
+/// Sends requests and events to a running control host.
 #[derive(Clone)]
 pub struct ControlHandle {
     events: mpsc::UnboundedSender<ServiceEvent>,
@@ -64,77 +64,79 @@
 }
 
 impl ControlHandle {
-    /// Gives an order and waits for its answer.
+    /// Submits an operator's order and waits for the answer, which is
+    /// `Unavailable` if the host has stopped.
     pub async fn order(&self, order: OperatorOrder) -> OrderAnswer {
-        let (answer, answered) = oneshot::channel();
-        if self.events.send(ServiceEvent::Order(order, answer)).is_err() {
+        let (reply, answer) = oneshot::channel();
+        if self.events.send(ServiceEvent::Order(order, reply)).is_err() {
             return OrderAnswer::Unavailable;
         }
-        answered.await.unwrap_or(OrderAnswer::Unavailable)
+        answer.await.unwrap_or(OrderAnswer::Unavailable)
     }
 
-    /// True if this host leads or follows a leader, so that what it is told
-    /// reaches the others.
+    /// True if this host is a current leader or follows a leader, so that events
+    /// given to it reach the other hosts.
     pub fn is_connected(&self) -> bool {
         self.connected.get()
     }
 
-    /// The system as this host sees it; `None` if it has a name that operators'
-    /// pages cannot show, or if the host stops.
+    /// The state of the system as this host knows it; `None` if a name in it is
+    /// not valid on a status page, or if the host has stopped.
     pub async fn status(&self) -> Option<StatusResponse> {
-        let (page, answered) = oneshot::channel();
-        self.events.send(ServiceEvent::Status(page)).ok()?;
-        answered.await.ok()?
+        let (reply, page) = oneshot::channel();
+        self.events.send(ServiceEvent::Status(reply)).ok()?;
+        page.await.ok()?
     }
 
-    /// The audit trail as applied on this host; `None` if the host stops.
+    /// The audit trail as applied on this host; `None` if the host has stopped.
     pub async fn audit(&self) -> Option<Vec<AuditRecord>> {
-        let (records, answered) = oneshot::channel();
-        self.events.send(ServiceEvent::Audit(records)).ok()?;
-        answered.await.ok()
+        let (reply, records) = oneshot::channel();
+        self.events.send(ServiceEvent::Audit(reply)).ok()?;
+        records.await.ok()
     }
 
-    /// Takes an announcement of a database.
+    /// Passes on a database's announcement; does not wait for its effects.
     pub fn announce(&self, record: InstanceRecord) {
         self.send(ControlEvent::Announced(record));
     }
 
-    /// Takes a database's word that it is gone.
+    /// Passes on a database's notice that it has left; does not wait for its
+    /// effects.
     pub fn depart(&self, departure: InstanceDeparture) {
         self.send(ControlEvent::Departed(departure));
     }
 
     fn send(&self, event: ControlEvent) {
-        // The service ends only with the process.
+        // Sending cannot fail: the service runs until the process exits.
         let _ = self.events.send(ServiceEvent::Control(event));
     }
 }
 
-/// Starts a control host on the current thread's local set.
+/// Starts a control host on the current thread's `LocalSet`.
 ///
 /// # Errors
 /// `KernelError` if the data folder or the port cannot be used.
 pub fn start_control(
     options: ControlOptions,
     upstreams: Rc<dyn UpstreamProtocol>,
-    promotions: Rc<dyn PromotionEdge>,
+    promotions: Rc<dyn PromotionClient>,
     metrics: HostMetrics,
 ) -> Result<ControlHandle, KernelError> {
     let (persisted, journal_events) = mpsc::unbounded_channel();
     let (journal, records) = JournalThread::open(&options.data_folder, persisted)?;
-    tracing::info!(target: "journal", records = records.len(), "journal read");
+    tracing::info!(target: "journal", records = records.len(), "journal opened");
     let address = host_address(options.decisions.host, options.link_port);
     let listener =
         bind_listener(address).map_err(|source| KernelError::Listen { address, source })?;
     let (links, link_events) = mpsc::unbounded_channel();
     tokio::task::spawn_local(accept_links(listener, links));
-    let (events, received) = mpsc::unbounded_channel();
+    let (events, service_events) = mpsc::unbounded_channel();
     let clock = BootClock;
     let host = ControlHost::new(options.decisions.clone(), records, clock.now());
     let connected = Rc::new(Cell::new(false));
     let service = ControlService {
         metrics,
-        measured: [f64::NAN; CONTROL_GAUGES.len()],
+        gauge_values: [f64::NAN; CONTROL_GAUGES.len()],
         connected: connected.clone(),
         clock,
         host,
@@ -142,17 +144,17 @@
         upstreams,
         promotions,
         peers: HashMap::new(),
-        entries: HashMap::new(),
-        orders: BTreeMap::new(),
-        next_ticket: 0,
+        entry_links: HashMap::new(),
+        pending_orders: BTreeMap::new(),
+        last_ticket: 0,
         events: events.clone(),
         options,
     };
-    tokio::task::spawn_local(service.run(received, link_events, journal_events));
+    tokio::task::spawn_local(service.run(service_events, link_events, journal_events));
     Ok(ControlHandle { events, connected })
 }
 
-/// Gauges of a control host, in the order in which they are measured.
+/// Gauges of a control host, in the order of the values in `update_gauges`.
 const CONTROL_GAUGES: [&str; 6] = [
     "hawthornstack_control_leader",
     "hawthornstack_control_term",
@@ -164,60 +166,62 @@
 
 struct ControlService {
     metrics: HostMetrics,
-    measured: [f64; CONTROL_GAUGES.len()],
+    gauge_values: [f64; CONTROL_GAUGES.len()],
     connected: Rc<Cell<bool>>,
     options: ControlOptions,
     clock: BootClock,
     host: ControlHost,
     journal: JournalThread,
     upstreams: Rc<dyn UpstreamProtocol>,
-    promotions: Rc<dyn PromotionEdge>,
-    peers: HashMap<HostId, PeerDialler>,
-    entries: HashMap<HostId, (u64, mpsc::Sender<EntryUpdate>)>,
-    orders: BTreeMap<u64, oneshot::Sender<OrderAnswer>>,
-    next_ticket: u64,
+    promotions: Rc<dyn PromotionClient>,
+    peers: HashMap<HostId, PeerLink>,
+    /// Number of the current link and its update queue, by entry host.
+    entry_links: HashMap<HostId, (u64, mpsc::Sender<EntryUpdate>)>,
+    /// Operators that wait for an answer, by ticket.
+    pending_orders: BTreeMap<u64, oneshot::Sender<OrderAnswer>>,
+    last_ticket: u64,
     events: mpsc::UnboundedSender<ServiceEvent>,
 }
 
 impl ControlService {
     async fn run(
         mut self,
-        mut received: mpsc::UnboundedReceiver<ServiceEvent>,
-        mut links: mpsc::UnboundedReceiver<LinkEvent>,
-        mut persisted: mpsc::UnboundedReceiver<ControlEvent>,
+        mut service_events: mpsc::UnboundedReceiver<ServiceEvent>,
+        mut link_events: mpsc::UnboundedReceiver<LinkEvent>,
+        mut journal_events: mpsc::UnboundedReceiver<ControlEvent>,
     ) {
         self.step(ControlEvent::Tick);
         loop {
-            let due = self.until_due();
+            let delay = self.time_until_due();
             tokio::select! {
                 biased;
-                Some(event) = persisted.recv() => self.step(event),
-                Some(event) = links.recv() => self.take_link_event(event),
-                Some(event) = received.recv() => self.take_event(event),
-                () = sleep(due) => self.step(ControlEvent::Tick),
+                Some(event) = journal_events.recv() => self.step(event),
+                Some(event) = link_events.recv() => self.handle_link_event(event),
+                Some(event) = service_events.recv() => self.handle_service_event(event),
+                () = sleep(delay) => self.step(ControlEvent::Tick),
             }
         }
     }
 
-    fn until_due(&self) -> Duration {
+    fn time_until_due(&self) -> Duration {
         let now = self.clock.now();
         self.host.next_due(now).since(now)
     }
 
-    fn take_event(&mut self, event: ServiceEvent) {
+    fn handle_service_event(&mut self, event: ServiceEvent) {
         match event {
             ServiceEvent::Control(event) => self.step(event),
-            ServiceEvent::Status(page) => {
-                // Whoever asked may have gone meanwhile, here and below.
-                let _ = page.send(self.status());
+            ServiceEvent::Status(reply) => {
+                // The requester may be gone by now, here and below.
+                let _ = reply.send(self.status());
             }
-            ServiceEvent::Audit(records) => {
-                let _ = records.send(self.host.control().audit.clone());
+            ServiceEvent::Audit(reply) => {
+                let _ = reply.send(self.host.control().audit.clone());
             }
-            ServiceEvent::Order(order, answer) => {
-                self.next_ticket += 1;
-                let ticket = self.next_ticket;
-                self.orders.insert(ticket, answer);
+            ServiceEvent::Order(order, reply) => {
+                self.last_ticket += 1;
+                let ticket = self.last_ticket;
+                self.pending_orders.insert(ticket, reply);
                 self.step(ControlEvent::OperatorOrdered { ticket, order });
             }
         }
@@ -225,32 +229,35 @@
 
     fn status(&self) -> Option<StatusResponse> {
         let (me, port) = (self.options.decisions.host, self.options.link_port);
-        match status_page(&self.host, me, port, self.connected.get(), self.clock.now()) {
+        match build_status_page(&self.host, me, port, self.connected.get(), self.clock.now()) {
             Ok(page) => Some(page),
             Err(error) => {
-                tracing::warn!(target: "control", %error, "status not shown");
+                tracing::warn!(
+                    target: "control", %error,
+                    "name not valid on a status page; status request refused"
+                );
                 None
             }
         }
     }
 
-    fn take_link_event(&mut self, event: LinkEvent) {
+    fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Control(event) => {
                 if let ControlEvent::PeerLinked(host) = &event
                     && let Some(peer) = self.peers.get(host)
                 {
-                    peer.note_reached();
+                    peer.notify_reachable();
                 }
                 self.step(event);
             }
             LinkEvent::EntryOpened(host, number, queue) => {
-                self.entries.insert(host, (number, queue));
+                self.entry_links.insert(host, (number, queue));
                 self.step(ControlEvent::EntryLinked(host));
             }
             LinkEvent::EntryClosed(host, number) => {
-                if self.entries.get(&host).is_some_and(|(current, _)| *current == number) {
-                    self.entries.remove(&host);
+                if self.entry_links.get(&host).is_some_and(|(current, _)| *current == number) {
+                    self.entry_links.remove(&host);
                     self.step(ControlEvent::EntryClosed(host));
                 }
             }
@@ -259,18 +266,18 @@
 
     fn step(&mut self, event: ControlEvent) {
         let effects = self.host.step(self.clock.now(), event);
-        effects.into_iter().for_each(|effect| self.carry_out(effect));
+        effects.into_iter().for_each(|effect| self.apply_effect(effect));
         let agreement = self.host.agreement();
         let connected = match agreement.is_leader() {
             true => self.host.is_current_leader(self.clock.now()),
             false => agreement.leader().is_some(),
         };
         self.connected.set(connected);
-        self.measure();
+        self.update_gauges();
     }
 
-    /// Sets the gauges where they changed.
-    fn measure(&mut self) {
+    /// Sets all gauges if any value has changed.
+    fn update_gauges(&mut self) {
         let agreement = self.host.agreement();
         let values = [
             f64::from(u8::from(agreement.is_leader())),
@@ -280,97 +287,109 @@
             self.host.control().routes_version() as f64,
             self.host.control().applied as f64,
         ];
-        if values != self.measured {
+        if values != self.gauge_values {
             for (name, value) in CONTROL_GAUGES.into_iter().zip(values) {
                 self.metrics.set(name, value, &[]);
             }
-            self.measured = values;
+            self.gauge_values = values;
         }
     }
 
-    fn carry_out(&mut self, effect: ControlEffect) {
+    fn apply_effect(&mut self, effect: ControlEffect) {
         match effect {
             ControlEffect::Dial(peer) => {
                 let (me, port) = (self.options.decisions.host, self.options.link_port);
-                self.peers.entry(peer).or_insert_with(|| PeerDialler::start(me, peer, port));
+                self.peers.entry(peer).or_insert_with(|| PeerLink::start(me, peer, port));
             }
             ControlEffect::SendPeer(to, message) => {
                 let full = self.peers.get(&to).is_some_and(|peer| !peer.send(message));
                 if full {
-                    tracing::debug!(target: "control", peer = %to, "message dropped, queue full");
+                    tracing::debug!(
+                        target: "control", peer = %to,
+                        "queue to the peer is full; message dropped"
+                    );
                 }
             }
             ControlEffect::SendEntry(to, update) => self.send_entry(to, update),
             ControlEffect::Persist { number, records } => self.journal.persist(number, records),
             ControlEffect::AskStatus { key, service, address } => {
-                self.ask_status(StatusQuestion { key, service, address });
+                self.query_status(StatusQuery { key, service, address });
             }
             ControlEffect::Promote { service, key, fence } => {
                 let order =
                     PromotionOrder { service: service.clone(), instance: key.id.clone(), fence };
-                tracing::info!(target: "control", %service, instance = %key, fence, "promoting");
+                tracing::info!(
+                    target: "control", %service, instance = %key, fence,
+                    "calling for promotion"
+                );
                 let call = self.promotions.promote(order);
                 let events = self.events.clone();
                 tokio::task::spawn_local(async move {
                     let result = call.await;
-                    tracing::info!(target: "control", %service, instance = %key, ?result, "promotion answered");
+                    tracing::info!(
+                        target: "control", %service, instance = %key, ?result,
+                        "promotion call ended"
+                    );
                     let event = ControlEvent::PromoteAnswered { service, key, result };
                     let _ = events.send(ServiceEvent::Control(event));
                 });
             }
             ControlEffect::Answer(ticket, answer) => {
-                if let Some(waiting) = self.orders.remove(&ticket) {
-                    // The operator may have gone meanwhile.
-                    let _ = waiting.send(answer);
+                if let Some(reply) = self.pending_orders.remove(&ticket) {
+                    // The operator may be gone by now.
+                    let _ = reply.send(answer);
                 }
             }
-            ControlEffect::Log(note) => write_note(&note),
+            ControlEffect::Log(event) => write_log_event(&event),
         }
     }
 
-    /// An entry host that does not take its updates is cut off: it connects
-    /// again and gets the whole state.
+    /// Queues an update for an entry host. If its queue is full or closed, its
+    /// link is closed: the entry host connects again and then gets the whole state.
     fn send_entry(&mut self, to: HostId, update: EntryUpdate) {
-        let refused = self.entries.get(&to).is_some_and(|(_, q)| q.try_send(update).is_err());
+        let refused = self.entry_links.get(&to).is_some_and(|(_, q)| q.try_send(update).is_err());
         if refused {
-            tracing::info!(target: "control", entry = %to, "entry host takes no updates");
-            self.entries.remove(&to);
-            // Taken up at once, since the step that sent this has ended.
+            tracing::info!(
+                target: "control", entry = %to,
+                "update queue of the entry host is full or closed; closing its link"
+            );
+            self.entry_links.remove(&to);
+            // Queued: handled after the effects of the current step.
             let _ = self.events.send(ServiceEvent::Control(ControlEvent::EntryClosed(to)));
         }
     }
 
-    fn ask_status(&self, question: StatusQuestion) {
+    fn query_status(&self, query: StatusQuery) {
         let (upstreams, events) = (self.upstreams.clone(), self.events.clone());
-        let caller = self.options.name.clone();
+        let client = self.options.name.clone();
         tokio::task::spawn_local(async move {
-            let status = question.ask(&*upstreams, &caller).await;
-            tracing::info!(target: "control", instance = %question.key, ?status, "status");
-            let event = ControlEvent::StatusAnswered(question.key, status);
+            let status = query.run(&*upstreams, &client).await;
+            tracing::info!(target: "control", instance = %query.key, ?status, "status query ended");
+            let event = ControlEvent::StatusAnswered(query.key, status);
             let _ = events.send(ServiceEvent::Control(event));
         });
     }
 }
 
-fn write_note(note: &ControlLogEvent) {
-    match note {
+fn write_log_event(event: &ControlLogEvent) {
+    match event {
         ControlLogEvent::LeadershipGained(term) => {
-            tracing::info!(target: "control", term, "this host leads")
+            tracing::info!(target: "control", term, "this host became the leader")
         }
         ControlLogEvent::LeadershipLost => {
-            tracing::info!(target: "control", "this host no longer leads");
+            tracing::info!(target: "control", "this host is no longer the leader");
         }
         ControlLogEvent::VotersChanged(voters) => {
-            tracing::info!(target: "control", ?voters, "voters")
+            tracing::info!(target: "control", ?voters, "voters changed")
         }
         ControlLogEvent::RoutesReplaced(version) => {
-            tracing::info!(target: "control", version, "configuration in force");
+            tracing::info!(target: "control", version, "configuration replaced");
         }
         ControlLogEvent::TermChanged { service, number, what } => {
-            tracing::info!(target: "control", %service, number, %what, "term");
+            tracing::info!(target: "control", %service, number, %what, "term changed");
         }
         ControlLogEvent::InstanceChanged { key, what } => {
-            tracing::info!(target: "control", instance = %key, what, "database");
+            tracing::info!(target: "control", instance = %key, what, "database changed");
         }
     }
 }
--- a/crates/daemon/src/control_role/journal_thread.rs
+++ b/crates/daemon/src/control_role/journal_thread.rs
@@ -11,25 +11,26 @@
 
 use crate::{journal::JournalFile, kernel::KernelError};
 
-/// Pause before a write that the disk refused is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Name that a damaged journal is moved to.
-const DAMAGED_NAME: &str = "journal.damaged";
+/// Delay before a failed journal write is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// File name to which a damaged journal is moved in the data folder.
+const DAMAGED_FILE_NAME: &str = "journal.damaged";
 
 struct JournalBatch {
     number: u64,
     records: Vec<JournalRecord>,
 }
 
-/// Writes and syncs records on a thread of its own, since both wait for the
-/// disk, and reports each number once it is durable.
+/// Writes and syncs records on a dedicated thread, since both block on the disk,
+/// and reports the number up to which batches are durable.
 pub(super) struct JournalThread {
     batches: Sender<JournalBatch>,
 }
 
 impl JournalThread {
-    /// Opens the journal. A damaged one is moved aside: the host then counts as
-    /// one that lost its disk and is caught up by the others.
+    /// Opens the journal. A damaged journal is moved aside and replaced by an empty
+    /// one: the host then counts as one that lost its disk, and the other hosts
+    /// bring it up to date.
     ///
     /// # Errors
     /// `KernelError` if the data folder cannot be used.
@@ -39,8 +40,11 @@
     ) -> Result<(Self, Vec<JournalRecord>), KernelError> {
         let (file, records) = match JournalFile::open(folder) {
             Err(KernelError::JournalDamaged { path, offset }) => {
-                tracing::error!(target: "journal", offset, "journal damaged, starting empty");
-                let moved = folder.join(DAMAGED_NAME);
+                tracing::error!(
+                    target: "journal", offset,
+                    "journal is damaged; moving it aside and starting with an empty one"
+                );
+                let moved = folder.join(DAMAGED_FILE_NAME);
                 fs::rename(&path, moved)
                     .map_err(|source| KernelError::DataFolder { path, source })?;
                 JournalFile::open(folder)?
@@ -54,7 +58,7 @@
     }
 
     pub(super) fn persist(&self, number: u64, records: Vec<JournalRecord>) {
-        // The thread ends only with the process.
+        // Sending cannot fail: the thread runs until the process exits.
         let _ = self.batches.send(JournalBatch { number, records });
     }
 }
@@ -70,7 +74,7 @@
         while let Ok(first) = batches.recv() {
             let mut number = first.number;
             let mut records = first.records;
-            // What waits already shares one sync.
+            // Batches that are already queued share one sync.
             while let Ok(next) = batches.try_recv() {
                 number = next.number;
                 records.extend(next.records);
@@ -84,15 +88,22 @@
 
     fn write(&mut self, records: &[JournalRecord]) {
         while let Err(error) = self.file.append(records) {
-            tracing::warn!(target: "journal", %error, "the disk refused a write");
-            thread::sleep(RETRY_PAUSE);
+            tracing::warn!(
+                target: "journal", %error,
+                "journal write failed; reopening the journal and retrying"
+            );
+            thread::sleep(RETRY_DELAY);
             if let Err(error) = self.reopen() {
-                tracing::warn!(target: "journal", %error, "the journal cannot be opened");
+                tracing::warn!(
+                    target: "journal", %error,
+                    "journal cannot be reopened; retrying the write anyway"
+                );
             }
         }
     }
 
-    /// Drops what a failed write may have left at the end.
+    /// Opens the file again, which cuts off a record that a failed write left
+    /// incomplete at the end.
     fn reopen(&mut self) -> Result<(), io::Error> {
         let (file, _) = JournalFile::open(&self.folder).map_err(io::Error::other)?;
         self.file = file;
--- a/crates/daemon/src/control_role/mod.rs
+++ b/crates/daemon/src/control_role/mod.rs
@@ -1,12 +1,12 @@
-//! A control host: feeds the decisions of [`ControlHost`] and carries out
-//! their effects.
+//! Runs a control host: passes events to [`ControlHost`] and applies the effects
+//! that it returns.
 //!
 //! [`ControlHost`]: hawthornstack_decisions::control_role::ControlHost
 
 mod control_service;
 mod journal_thread;
 mod peer_links;
-mod status_pages;
-mod status_question;
+mod status_page;
+mod status_query;
 
 pub use control_service::{ControlHandle, ControlOptions, start_control};
--- a/crates/daemon/src/control_role/peer_links.rs
+++ b/crates/daemon/src/control_role/peer_links.rs
@@ -10,68 +10,75 @@
     time::{sleep, timeout},
 };
 
-use crate::links::{FrameReader, FrameWriter, LinkDialler, accept_each, accept_link, host_address};
+use crate::links::{
+    FrameReader, FrameWriter, LinkDialler, accept_connections, frame_connection, host_address,
+};
 
-/// Pause before a control host is dialled again.
-const REDIAL_PAUSE: Duration = Duration::from_millis(100);
-/// Messages that may wait for a control host; more are dropped, since the
-/// protocol between voters repeats what matters.
-const PEER_QUEUE: usize = 512;
-/// Updates that may wait for an entry host before its link is closed.
-const ENTRY_QUEUE: usize = 256;
-/// Time for the first frame of a link.
+/// Delay before a link to a control host is opened again.
+const REDIAL_DELAY: Duration = Duration::from_millis(100);
+/// Messages queued for a control host. Further ones are dropped, since the
+/// protocol between voters retransmits what it needs.
+const PEER_QUEUE_LENGTH: usize = 512;
+/// Updates queued for an entry host; its link is closed when the queue is full.
+const ENTRY_QUEUE_LENGTH: usize = 256;
+/// Time within which the first frame of an incoming link must arrive.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for a frame to be taken; longer silences close the link.
+/// Time within which buffered frames must be flushed; the link is closed after it.
 const SEND_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What links tell the control service.
+/// Events that links report to the control service.
 pub(super) enum LinkEvent {
-    /// A fact for the decisions.
+    /// An event for the `ControlHost`.
     Control(ControlEvent),
-    /// An entry host opened a link; updates go to the queue.
+    /// An entry host opened the link with this number; updates for it go to
+    /// the queue.
     EntryOpened(HostId, u64, mpsc::Sender<EntryUpdate>),
-    /// The link with this number closed.
+    /// The entry host's link with this number closed.
     EntryClosed(HostId, u64),
 }
 
-/// The way to one control host.
-pub(super) struct PeerDialler {
+/// Outgoing link to one control host, opened again whenever it closes.
+pub(super) struct PeerLink {
     queue: mpsc::Sender<ControlMessage>,
-    reached: Rc<Notify>,
+    reachable: Rc<Notify>,
 }
 
-impl PeerDialler {
-    /// Keeps a link up.
+impl PeerLink {
+    /// Spawns the task that keeps the link open; it ends when the `PeerLink` is
+    /// dropped.
     pub(super) fn start(me: HostId, peer: HostId, port: u16) -> Self {
-        let (queue, mut messages) = mpsc::channel(PEER_QUEUE);
-        let reached = Rc::new(Notify::new());
-        let peer_reached = reached.clone();
+        let (queue, mut messages) = mpsc::channel(PEER_QUEUE_LENGTH);
+        let reachable = Rc::new(Notify::new());
+        let peer_reachable = reachable.clone();
         tokio::task::spawn_local(async move {
             let mut dialler = LinkDialler::new(host_address(peer, port));
             while !messages.is_closed() {
-                let result = send_messages(me, &mut dialler, &mut messages, &peer_reached).await;
+                let result = send_messages(me, &mut dialler, &mut messages, &peer_reachable).await;
                 if let Err(error) = result {
-                    tracing::debug!(target: "control", %peer, %error, "link to control host closed");
+                    tracing::debug!(
+                        target: "control", %peer, %error,
+                        "link to control host closed; opening it again"
+                    );
                 }
                 while messages.try_recv().is_ok() {}
                 tokio::select! {
-                    () = sleep(REDIAL_PAUSE) => {}
-                    () = peer_reached.notified() => {}
+                    () = sleep(REDIAL_DELAY) => {}
+                    () = peer_reachable.notified() => {}
                 }
             }
         });
-        Self { queue, reached }
+        Self { queue, reachable }
     }
 
-    /// Sends a message; false if too many wait.
+    /// Queues a message; false if it was dropped because the queue is full.
     pub(super) fn send(&self, message: ControlMessage) -> bool {
         self.queue.try_send(message).is_ok()
     }
 
-    /// The host has just opened a link here, so that it can be reached: an
-    /// attempt that waits for it starts anew.
-    pub(super) fn note_reached(&self) {
-        self.reached.notify_waiters();
+    /// Ends the redial delay or the current connection attempt and starts a new
+    /// attempt: the host has just opened a link to this one, so it is reachable.
+    pub(super) fn notify_reachable(&self) {
+        self.reachable.notify_waiters();
     }
 }
 
@@ -79,11 +86,11 @@
     me: HostId,
     dialler: &mut LinkDialler,
     messages: &mut mpsc::Receiver<ControlMessage>,
-    reached: &Notify,
+    reachable: &Notify,
 ) -> io::Result<()> {
     let opened = tokio::select! {
         opened = dialler.open_link() => Some(opened),
-        () = reached.notified() => None,
+        () = reachable.notified() => None,
     };
     let (mut reader, mut writer) = match opened {
         Some(opened) => opened?,
@@ -93,7 +100,7 @@
     loop {
         tokio::select! {
             biased;
-            // Nothing comes this way but the end of the link.
+            // The peer sends no frames on this link; only its end is awaited.
             frame = reader.next() => return frame.map(|_| ()),
             message = messages.recv() => {
                 let Some(message) = message else {
@@ -109,15 +116,15 @@
     }
 }
 
-/// Accepts links of control and entry hosts.
+/// Accepts links from control and entry hosts and numbers them in order.
 pub(super) async fn accept_links(listener: TcpListener, events: mpsc::UnboundedSender<LinkEvent>) {
     let count = Cell::new(0);
-    accept_each(listener, "host", move |stream| {
+    accept_connections(listener, "host", move |stream| {
         count.set(count.get() + 1);
         let (number, events) = (count.get(), events.clone());
         tokio::task::spawn_local(async move {
             if let Err(error) = serve_link(stream, number, &events).await {
-                tracing::debug!(target: "control", %error, "a link closed");
+                tracing::debug!(target: "control", %error, "incoming link failed; closed");
             }
         });
     })
@@ -129,14 +136,14 @@
     number: u64,
     events: &mpsc::UnboundedSender<LinkEvent>,
 ) -> io::Result<()> {
-    let (mut reader, writer) = accept_link(stream)?;
+    let (mut reader, writer) = frame_connection(stream)?;
     match timeout(HELLO_TIMEOUT, reader.next()).await?? {
         Some(LinkFrame::Hello { role: LinkRole::Control, host }) => {
             send(events, ControlEvent::PeerLinked(host));
             receive_messages(host, &mut reader, events).await
         }
         Some(LinkFrame::Hello { role: LinkRole::Entry, host }) => {
-            let (queue, updates) = mpsc::channel(ENTRY_QUEUE);
+            let (queue, updates) = mpsc::channel(ENTRY_QUEUE_LENGTH);
             let _ = events.send(LinkEvent::EntryOpened(host, number, queue));
             let result = serve_entry(host, &mut reader, writer, updates, events).await;
             let _ = events.send(LinkEvent::EntryClosed(host, number));
@@ -190,6 +197,6 @@
 }
 
 fn send(events: &mpsc::UnboundedSender<LinkEvent>, event: ControlEvent) {
-    // The service ends only with the process.
+    // Sending cannot fail: the service runs until the process exits.
     let _ = events.send(LinkEvent::Control(event));
 }
--- a/crates/daemon/src/control_role/status_pages.rs
+++ b/crates/daemon/src/control_role/status_page.rs
@@ -9,10 +9,14 @@
 
 use crate::links::host_address;
 
-/// The system as a control host sees it: each service is one group, and the
-/// hosts are the voters and the entry hosts. It may serve while it is connected:
-/// a current leader, or a follower of one.
-pub(super) fn status_page(
+/// Builds the status page of a control host. Each service is shown as one group;
+/// the hosts are the voters and the entry hosts. `has_lease` is true while this
+/// host is connected, that is, a current leader or a follower of a leader.
+///
+/// # Errors
+/// `NameError` if the name of a service, database or data centre is not valid on
+/// a status page.
+pub(super) fn build_status_page(
     control_host: &ControlHost,
     me: HostId,
     link_port: u16,
@@ -27,7 +31,7 @@
         data_centre: unknown.clone(),
         draining: false,
     });
-    let groups = control.terms.values().map(|term| group_status(control_host, term));
+    let groups = control.terms.values().map(|term| build_group_status(control_host, term));
     Ok(StatusResponse {
         host: me,
         leader: agreement.leader(),
@@ -41,13 +45,17 @@
     })
 }
 
-fn group_status(control_host: &ControlHost, term: &ServiceTerm) -> Result<GroupStatus, NameError> {
+fn build_group_status(
+    control_host: &ControlHost,
+    term: &ServiceTerm,
+) -> Result<GroupStatus, NameError> {
     let phase = match &term.phase {
         TermPhase::Steady => "steady",
         TermPhase::Fencing { .. } => "fencing",
         TermPhase::Promoting { .. } => "promoting",
     };
-    let members = control_host.directory().instances_of_service(&term.service).map(member_status);
+    let members =
+        control_host.directory().instances_of_service(&term.service).map(build_member_status);
     Ok(GroupStatus {
         group: GroupName::new(&term.service)?,
         term: term.number,
@@ -59,7 +67,7 @@
     })
 }
 
-fn member_status(record: &InstanceRecord) -> Result<MemberStatus, NameError> {
+fn build_member_status(record: &InstanceRecord) -> Result<MemberStatus, NameError> {
     let role = match record.role {
         InstanceRole::Primary => "primary",
         InstanceRole::Replica => "replica",
--- a/crates/daemon/src/control_role/status_question.rs
+++ b/crates/daemon/src/control_role/status_query.rs
@@ -8,54 +8,62 @@
     links::{LineStream, prepare_socket},
 };
 
-/// Time for a database to answer a question, connection included.
-const QUESTION_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time within which a database must answer a status query, connecting included.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A question for a database's status on a connection of its own.
-pub(super) struct StatusQuestion {
+/// A query for a database's status on a new connection.
+pub(super) struct StatusQuery {
     pub(super) key: InstanceKey,
     pub(super) service: Arc<str>,
     pub(super) address: SocketAddr,
 }
 
-impl StatusQuestion {
-    /// Asks; `None` if there is no clear answer in time.
-    pub(super) async fn ask(
+impl StatusQuery {
+    /// Connects and queries; `None` if the database refuses, or gives no valid
+    /// answer in time.
+    pub(super) async fn run(
         &self,
         protocol: &dyn UpstreamProtocol,
-        caller: &str,
+        client: &str,
     ) -> Option<InstanceStatus> {
-        match timeout(QUESTION_TIMEOUT, self.exchange(protocol, caller)).await {
+        match timeout(QUERY_TIMEOUT, self.request_status(protocol, client)).await {
             Ok(Ok(status)) => status,
             Ok(Err(error)) => {
-                tracing::info!(target: "control", instance = %self.key, %error, "no status");
+                tracing::info!(
+                    target: "control", instance = %self.key, %error,
+                    "status query failed; status unknown"
+                );
                 None
             }
             Err(_) => {
-                tracing::info!(target: "control", instance = %self.key, "no status in time");
+                tracing::info!(
+                    target: "control", instance = %self.key,
+                    "status query timed out; status unknown"
+                );
                 None
             }
         }
     }
 
-    async fn exchange(
+    async fn request_status(
         &self,
         protocol: &dyn UpstreamProtocol,
-        caller: &str,
+        client: &str,
     ) -> io::Result<Option<InstanceStatus>> {
         let stream = TcpStream::connect(self.address).await?;
-        prepare_socket(&stream, QUESTION_TIMEOUT)?;
+        prepare_socket(&stream, QUERY_TIMEOUT)?;
         let mut lines = LineStream::new(stream);
         let mut out = Vec::new();
         let (service, instance) = (&*self.service, &*self.key.id);
-        protocol.encode_command(&mut out, UpstreamCommand::Open { service, caller, instance });
+        protocol
+            .encode_command(&mut out, UpstreamCommand::Open { service, caller: client, instance });
         lines.send(&out).await?;
-        wait_ready(&mut lines, protocol).await?;
+        wait_until_ready(&mut lines, protocol).await?;
         out.clear();
         protocol.encode_command(&mut out, UpstreamCommand::Status);
         lines.send(&out).await?;
         loop {
-            let line = next_line(&mut lines).await?;
+            let line = read_line(&mut lines).await?;
             match protocol.decode_reply(&line).map_err(io::Error::other)? {
                 UpstreamReply::Row => {
                     return protocol.decode_status(&line).map(Some).map_err(io::Error::other);
@@ -67,14 +75,17 @@
     }
 }
 
-async fn wait_ready(lines: &mut LineStream, protocol: &dyn UpstreamProtocol) -> io::Result<()> {
-    let line = next_line(lines).await?;
+async fn wait_until_ready(
+    lines: &mut LineStream,
+    protocol: &dyn UpstreamProtocol,
+) -> io::Result<()> {
+    let line = read_line(lines).await?;
     match protocol.decode_reply(&line).map_err(io::Error::other)? {
         UpstreamReply::Ready { .. } => Ok(()),
         _ => Err(io::Error::other("the database refused the connection")),
     }
 }
 
-async fn next_line(lines: &mut LineStream) -> io::Result<bytes::Bytes> {
+async fn read_line(lines: &mut LineStream) -> io::Result<bytes::Bytes> {
     lines.next_line().await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
--- a/crates/daemon/src/edges/caller_protocol.rs
+++ b/crates/daemon/src/edges/caller_protocol.rs
@@ -9,22 +9,22 @@
 pub enum StatementAction {
     /// Begins a transaction.
     Begin {
-        /// It only reads.
+        /// The transaction only reads.
         read_only: bool,
     },
     /// Commits the transaction.
     Commit,
     /// Rolls the transaction back.
     Rollback,
-    /// Reads.
+    /// A statement that only reads.
     Read,
-    /// Writes.
+    /// A statement that writes.
     Write,
     /// Runs a prepared statement.
     Execute {
-        /// The caller's name of it.
+        /// The caller's name for it.
         name: Arc<str>,
-        /// Its arguments, unchanged.
+        /// Its arguments, as the caller sent them.
         arguments: Bytes,
     },
     /// Sets a session value.
@@ -36,14 +36,14 @@
     },
     /// Prepares a statement.
     Prepare {
-        /// The caller's name of it.
+        /// The caller's name for it.
         name: Arc<str>,
-        /// What it runs.
+        /// Its text without arguments, and whether it writes.
         prepared: PreparedStatement,
     },
-    /// Forgets a prepared statement.
+    /// Removes a prepared statement.
     Deallocate {
-        /// The caller's name of it.
+        /// The caller's name for it.
         name: Arc<str>,
     },
 }
@@ -68,9 +68,9 @@
 /// One statement of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerStatement {
-    /// Id that the caller gave it; passed on with it.
+    /// Id that the caller gave it; sent with it to the database.
     pub id: Bytes,
-    /// Its text, unchanged.
+    /// Its text, as the caller sent it.
     pub text: Bytes,
     /// What it does.
     pub action: StatementAction,
@@ -90,7 +90,7 @@
     Terminate,
 }
 
-/// A message that cannot be understood.
+/// A message of a caller or another entry host that cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{reason}"))]
 pub struct MalformedRequest {
@@ -98,7 +98,8 @@
     pub reason: &'static str,
 }
 
-/// Where a session stands, as callers and databases tell each other.
+/// Transaction state of a session or of a connection, as it is sent at the end
+/// of each answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SessionPhase {
     /// No transaction is open.
@@ -109,20 +110,20 @@
     Failed,
 }
 
-/// What the daemon itself tells a caller instead of a result.
+/// Error that the host itself sends to a caller instead of a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerRefusal {
-    /// Nothing ran; it may be tried again.
+    /// The statement did not run; the caller may retry it.
     NotRun,
-    /// The transaction is rolled back; nothing of it is kept.
+    /// The transaction is rolled back, with all of its statements.
     Aborted,
-    /// It may have run.
+    /// The outcome is unknown: the statement may have run.
     InDoubt,
-    /// No answer in time; it may have run.
+    /// No answer in time; the statement may have run.
     TimedOut,
-    /// No route has the database's name.
+    /// No route has the name of the database.
     UnknownDatabase,
-    /// The message makes no sense here.
+    /// The message cannot be decoded, or is not allowed in the session's state.
     Malformed,
     /// The session has no prepared statement of that name.
     UnknownStatement,
@@ -143,20 +144,22 @@
     }
 }
 
-/// The protocol that callers speak: one message a line, answered in order.
+/// The protocol between callers and a host: one message per line, answered in
+/// order.
 pub trait CallerProtocol {
-    /// Reads one message.
+    /// Decodes one message.
     ///
     /// # Errors
     /// `MalformedRequest` says what is wrong with it.
     fn decode_request(&self, line: &Bytes) -> Result<CallerRequest, MalformedRequest>;
 
-    /// Appends that a statement without a result was carried out.
+    /// Appends the result of a statement that succeeded and returns no rows.
     fn encode_done(&self, out: &mut Vec<u8>);
 
-    /// Appends a refusal with a hint for people.
+    /// Appends a refusal with a human-readable hint.
     fn encode_refusal(&self, out: &mut Vec<u8>, refusal: CallerRefusal, hint: &str);
 
-    /// Appends the end of an answer.
+    /// Appends the end of an answer, with the session's transaction state and the
+    /// log position of its last answer, if it has one.
     fn encode_ready(&self, out: &mut Vec<u8>, phase: SessionPhase, position: Option<LogPosition>);
 }
--- a/crates/daemon/src/edges/mod.rs
+++ b/crates/daemon/src/edges/mod.rs
@@ -1,16 +1,16 @@
-//! The edges of a daemon: protocols of callers, upstreams and operators are
-//! implementations of these traits, so that everything behind them stands
-//! once.
+//! Traits for what a host exchanges with callers, upstreams and the system that
+//! promotes databases. Each protocol implements them, so that the code behind
+//! them is the same for all protocols.
 
 mod caller_protocol;
-mod operator_edge;
+mod promotion_client;
 mod upstream_protocol;
 
 pub use caller_protocol::{
     CallerProtocol, CallerRefusal, CallerRequest, CallerStatement, MalformedRequest, SessionPhase,
     StatementAction,
 };
-pub use operator_edge::{PromotionEdge, PromotionOrder};
+pub use promotion_client::{PromotionClient, PromotionOrder};
 pub use upstream_protocol::{
     ForwardUrgency, ForwardedCommand, MalformedReply, UpstreamCode, UpstreamCommand,
     UpstreamProtocol, UpstreamReply,
--- a/crates/daemon/src/edges/operator_edge.rs
+++ b/crates/daemon/src/edges/promotion_client.rs
@@ -2,19 +2,19 @@
 
 use hawthornstack_decisions::control_role::PromoteResult;
 
-/// Names the database that is to lead a service.
+/// An order to make a database the primary of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromotionOrder {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
     /// Id of the database.
     pub instance: Arc<str>,
-    /// Grows with each leader of control.
+    /// Fencing token, higher with each new leader of the control hosts.
     pub fence: u64,
 }
 
-/// How a database is told to lead.
-pub trait PromotionEdge {
-    /// Gives the order and returns how it was taken.
+/// Client of the system that promotes databases.
+pub trait PromotionClient {
+    /// Sends the order and returns how it was answered.
     fn promote(&self, order: PromotionOrder) -> Pin<Box<dyn Future<Output = PromoteResult>>>;
 }
--- a/crates/daemon/src/edges/upstream_protocol.rs
+++ b/crates/daemon/src/edges/upstream_protocol.rs
@@ -8,130 +8,133 @@
 
 use super::{CallerStatement, MalformedRequest, SessionPhase};
 
-/// How urgent a forwarded statement is, so that its home can order it among
-/// others.
+/// How urgent a forwarded statement is, by which its gateway orders it among
+/// other statements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ForwardUrgency {
-    /// 0 is the most urgent.
+    /// Priority of its route; 0 is the most urgent.
     pub priority: u32,
-    /// Time within which its answer is best given.
+    /// Target time for its answer, counted from its arrival.
     pub objective: Duration,
-    /// Time for which it has waited.
+    /// Time since its arrival.
     pub waited: Duration,
 }
 
-/// What is sent to a database.
+/// A command that is sent to a database.
 #[derive(Debug, Clone, Copy)]
 pub enum UpstreamCommand<'a> {
-    /// Opens the connection; the database refuses it unless it is the one that
-    /// is meant.
+    /// Opens the connection; the database refuses it if its own service or id
+    /// differs.
     Open {
-        /// Service that it must belong to.
+        /// Service to which the database must belong.
         service: &'a str,
-        /// Who connects.
+        /// Name of the host that connects.
         caller: &'a str,
-        /// Id that it must have.
+        /// Id that the database must have.
         instance: &'a str,
     },
-    /// A caller's statement, unchanged.
+    /// A caller's statement, as the caller sent it.
     Statement {
-        /// The caller's id.
+        /// Id that the caller gave the statement.
         id: &'a [u8],
-        /// Position that the database must hold.
+        /// Log position that the database must have applied, if any.
         after: Option<LogPosition>,
-        /// Text.
+        /// Text of the statement.
         text: &'a [u8],
     },
-    /// A caller's prepared statement under the connection's name.
+    /// A caller's prepared statement, by its name on this connection.
     Execute {
-        /// The caller's id.
+        /// Id that the caller gave the statement.
         id: &'a [u8],
-        /// Position that the database must hold.
+        /// Log position that the database must have applied, if any.
         after: Option<LogPosition>,
-        /// Name on this connection.
+        /// Name of the prepared statement on this connection.
         name: &'a str,
-        /// Arguments, unchanged.
+        /// Arguments, as the caller sent them.
         arguments: &'a [u8],
     },
     /// Begins a transaction.
     Begin {
-        /// It only reads.
+        /// The transaction only reads.
         read_only: bool,
-        /// Position that the database must hold.
+        /// Log position that the database must have applied, if any.
         after: Option<LogPosition>,
     },
-    /// Rolls back.
+    /// Rolls the transaction back.
     Rollback,
-    /// Clears values and prepared statements.
+    /// Clears the session values and prepared statements of the connection.
     Reset,
     /// Sets a session value.
     SetValue {
-        /// Name.
+        /// Name of the value.
         name: &'a str,
-        /// Value.
+        /// The value.
         value: &'a str,
     },
     /// Prepares a statement.
     Prepare {
-        /// Name on this connection.
+        /// Name of the prepared statement on this connection.
         name: &'a str,
-        /// What it runs.
+        /// Its text without arguments, and whether it writes.
         prepared: &'a PreparedStatement,
     },
-    /// Asks for role, term and position.
+    /// Asks for the database's role, term and log position.
     Status,
-    /// To a home: how urgent the statement after this is. Has no answer.
+    /// Only to a gateway: urgency of the next statement. Not answered.
     Urgency(ForwardUrgency),
 }
 
-/// What another entry host sends for one of its callers, as its home reads it.
+/// A command that another entry host forwards for one of its callers, as the
+/// gateway decodes it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ForwardedCommand {
-    /// Opens the connection on one database.
+    /// Opens the connection, for one database.
     Open {
-        /// Service that it must belong to.
+        /// Service to which the database must belong.
         service: Arc<str>,
-        /// Id that it must have.
+        /// Id that the database must have.
         instance: Arc<str>,
     },
     /// A caller's statement.
     Statement {
-        /// Position that the database must hold.
+        /// Log position that the database must have applied, if any.
         after: Option<LogPosition>,
-        /// The statement; prepared names are the connection's own.
+        /// The statement; names of prepared statements are those of this
+        /// connection.
         statement: CallerStatement,
     },
     /// Begins a transaction.
     Begin {
-        /// It only reads.
+        /// The transaction only reads.
         read_only: bool,
-        /// Position that the database must hold.
+        /// Log position that the database must have applied, if any.
         after: Option<LogPosition>,
     },
-    /// Clears values and prepared statements.
+    /// Clears the session values and prepared statements of the connection.
     Reset,
-    /// How urgent the next statement is; not answered.
+    /// Urgency of the next statement; not answered.
     Urgency(ForwardUrgency),
 }
 
-/// Why a database did not give a result.
+/// Error code that a database, or the gateway in its place, sends instead of a
+/// result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamCode {
-    /// All slots and places are taken; it did not run.
+    /// All slots and places are taken; the statement did not run.
     Busy,
-    /// The prepared name is not known; it did not run.
+    /// No prepared statement has this name; the statement did not run.
     UnknownStatement,
-    /// The position is not held; it did not run.
+    /// The required log position is not applied yet; the statement did not run.
     Lagging,
-    /// The database is no primary; it did not run.
+    /// The database is not a primary; the statement did not run.
     ReadOnly,
-    /// The database is another one; it did not run.
+    /// The database has another service or id; the statement did not run.
     Misrouted,
-    /// Too many connections.
+    /// The database has too many connections to open another one.
     ConnectionLimit,
-    /// It ran and failed.
+    /// The statement ran and failed.
     Failed,
-    /// Any other code; callers get it as it is.
+    /// Any other code; callers get it unchanged.
     Other,
 }
 
@@ -156,20 +159,20 @@
 pub enum UpstreamReply {
     /// A row of the result.
     Row,
-    /// The statement ran to its end.
+    /// The statement succeeded.
     Done,
     /// The statement gave no result.
     Refused(UpstreamCode),
     /// End of the answer.
     Ready {
-        /// State of the connection.
+        /// Transaction state of the connection.
         phase: SessionPhase,
-        /// Position of the database's log.
+        /// Position of the database's log, if it was sent.
         position: Option<LogPosition>,
     },
 }
 
-/// A message of a database that cannot be understood.
+/// A message of a database that cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("the database sent {line:?}"))]
 pub struct MalformedReply {
@@ -177,31 +180,31 @@
     pub line: Arc<str>,
 }
 
-/// The protocol that databases speak. Rows, results and refusals are passed on
-/// to callers as they came.
+/// The protocol between a host and databases. Rows, results and refusals are
+/// passed on to callers unchanged.
 pub trait UpstreamProtocol {
     /// Appends a command.
     fn encode_command(&self, out: &mut Vec<u8>, command: UpstreamCommand<'_>);
 
-    /// Reads a command that another entry host wrote with
+    /// Decodes a command that another entry host encoded with
     /// [`encode_command`](Self::encode_command).
     ///
     /// # Errors
     /// `MalformedRequest` says what is wrong with it.
     fn decode_forwarded(&self, line: &Bytes) -> Result<ForwardedCommand, MalformedRequest>;
 
-    /// Appends a refusal to another entry host; nothing ran.
+    /// Appends a refusal for another entry host: the statement did not run.
     fn encode_forward_refusal(&self, out: &mut Vec<u8>, code: UpstreamCode);
 
-    /// Reads one message.
+    /// Decodes one message.
     ///
     /// # Errors
-    /// `MalformedReply` with the message.
+    /// `MalformedReply` with the beginning of the message.
     fn decode_reply(&self, line: &[u8]) -> Result<UpstreamReply, MalformedReply>;
 
-    /// Reads the row that answers [`UpstreamCommand::Status`].
+    /// Decodes the row that answers [`UpstreamCommand::Status`].
     ///
     /// # Errors
-    /// `MalformedReply` with the row.
+    /// `MalformedReply` with the beginning of the row.
     fn decode_status(&self, row: &[u8]) -> Result<InstanceStatus, MalformedReply>;
 }
--- a/crates/daemon/src/entry_role/entry_host.rs
+++ b/crates/daemon/src/entry_role/entry_host.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     edges::{CallerProtocol, UpstreamProtocol},
-    links::{accept_each, bind_listener, host_address},
+    links::{accept_connections, bind_listener, host_address},
     metrics::HostMetrics,
 };
 
@@ -52,12 +52,12 @@
         let links = ControlLinks::run(shared.clone(), received);
         spawn_until_cancelled(&shared, links);
         let callers = shared.clone();
-        let accepting = accept_each(listener, "caller", move |stream| {
+        let accepting = accept_connections(listener, "caller", move |stream| {
             callers.tasks.spawn_local(serve_caller(callers.clone(), stream));
         });
         spawn_until_cancelled(&shared, accepting);
         let hosts = shared.clone();
-        let accepting = accept_each(forwards, "entry host", move |stream| {
+        let accepting = accept_connections(forwards, "entry host", move |stream| {
             hosts.tasks.spawn_local(serve_forwards(hosts.clone(), stream));
         });
         spawn_until_cancelled(&shared, accepting);
--- a/crates/daemon/src/entry_role/forward_task.rs
+++ b/crates/daemon/src/entry_role/forward_task.rs
@@ -66,7 +66,7 @@
         let command = shared.upstreams.decode_forwarded(&line).map_err(io::Error::other)?;
         link.run(command, &mut out).await?;
         // Restoring statements come together with the one they are for.
-        while let Some(line) = lines.take_line() {
+        while let Some(line) = lines.take_buffered_line() {
             let command = shared.upstreams.decode_forwarded(&line).map_err(io::Error::other)?;
             link.run(command, &mut out).await?;
         }
@@ -95,7 +95,7 @@
     loop {
         let changed = shared.changed.notified();
         if shared.closes_session(link.place.is_none()) {
-            return Ok(lines.take_line());
+            return Ok(lines.take_buffered_line());
         }
         tokio::select! {
             biased;
--- a/crates/daemon/src/entry_role/session_task.rs
+++ b/crates/daemon/src/entry_role/session_task.rs
@@ -126,7 +126,7 @@
     loop {
         let changed = shared.changed.notified();
         if shared.closes_session(session.is_idle()) {
-            return Ok(lines.take_line());
+            return Ok(lines.take_buffered_line());
         }
         let idle = async {
             match idle_until {
--- a/crates/daemon/src/entry_role/upstream_link.rs
+++ b/crates/daemon/src/entry_role/upstream_link.rs
@@ -181,7 +181,7 @@
 
     /// True if the connection can be used for another statement.
     pub(super) fn is_quiet(&self) -> bool {
-        self.lines.is_quiet()
+        self.lines.is_idle()
     }
 }
 
--- a/crates/daemon/src/links/frame_link.rs
+++ b/crates/daemon/src/links/frame_link.rs
@@ -14,18 +14,19 @@
 
 use super::prepare_socket;
 
-/// Largest frame, in bytes: a whole state with the longest configuration.
+/// Largest frame, in bytes: a complete state with the largest configuration.
 const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
-/// Time for the first attempt to connect to a host: twice the round trip between
-/// regions. A host without power does not answer, and TCP itself would ask it
-/// again only after a second.
+/// Timeout of the first attempt to connect to a host: twice the round trip
+/// between regions. A host without power does not answer, and TCP itself would
+/// retransmit the SYN only after a second.
 const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Longest time for an attempt: packets may wait about that long on a link that
-/// is full.
-const LONGEST_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Silence after which a host is taken for gone; below the election timeout's
-/// double, so that a new leader is not waited for on a dead connection.
-const PEER_SILENCE: Duration = Duration::from_millis(1_500);
+/// Upper limit of the connect timeout: packets can be queued for about that long
+/// on a saturated link.
+const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time without an acknowledgement after which the connection to a host counts as
+/// dead; below twice the election timeout, so that no host waits for a new leader
+/// on a dead connection.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Receives frames from another host.
 #[derive(Debug)]
@@ -39,7 +40,7 @@
     frames: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
 }
 
-/// Connects to one other host again and again, with more time for each attempt
+/// Opens links to one other host; doubles the connect timeout after each attempt
 /// that gets no answer.
 #[derive(Debug)]
 pub struct LinkDialler {
@@ -48,36 +49,38 @@
 }
 
 impl LinkDialler {
-    /// A dialler of the host at `address`.
+    /// Opens no connection yet.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, connect_timeout: FIRST_CONNECT_TIMEOUT }
     }
 
-    /// Connects.
+    /// Connects once, without a retry.
     ///
     /// # Errors
-    /// The system's error, `TimedOut` included.
+    /// The system's error; `TimedOut` if the host does not answer within the
+    /// connect timeout.
     pub async fn open_link(&mut self) -> io::Result<(FrameReader, FrameWriter)> {
         match timeout(self.connect_timeout, TcpStream::connect(self.address)).await {
             Ok(connected) => {
-                // Connected or refused, the host answers in time.
+                // A refusal also shows that the host answers in time.
                 self.connect_timeout = FIRST_CONNECT_TIMEOUT;
-                accept_link(connected?)
+                frame_connection(connected?)
             }
             Err(_) => {
-                self.connect_timeout = LONGEST_CONNECT_TIMEOUT.min(self.connect_timeout * 2);
+                self.connect_timeout = MAX_CONNECT_TIMEOUT.min(self.connect_timeout * 2);
                 Err(io::ErrorKind::TimedOut.into())
             }
         }
     }
 }
 
-/// Takes a connection that another host opened.
+/// Sets the socket options of a connection to another host and splits it into a
+/// reader and a writer of frames.
 ///
 /// # Errors
-/// The system's error.
-pub fn accept_link(stream: TcpStream) -> io::Result<(FrameReader, FrameWriter)> {
-    prepare_socket(&stream, PEER_SILENCE)?;
+/// The system's error if a socket option is refused.
+pub fn frame_connection(stream: TcpStream) -> io::Result<(FrameReader, FrameWriter)> {
+    prepare_socket(&stream, PEER_TIMEOUT)?;
     let (read, write) = stream.into_split();
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     Ok((
@@ -87,10 +90,11 @@
 }
 
 impl FrameReader {
-    /// The next frame; `None` if the other end closed. Cancel safe.
+    /// Reads the next frame; `None` if the other host closed the link. Cancel
+    /// safe.
     ///
     /// # Errors
-    /// The system's error; a frame that cannot be read is invalid data.
+    /// The system's error; `InvalidData` for a frame that cannot be decoded.
     pub async fn next(&mut self) -> io::Result<Option<LinkFrame>> {
         match self.frames.next().await {
             None => Ok(None),
@@ -102,26 +106,26 @@
 }
 
 impl FrameWriter {
-    /// Sends a frame.
+    /// Sends a frame and all buffered ones before it.
     ///
     /// # Errors
-    /// The system's error.
+    /// The system's error, or that the frame cannot be encoded.
     pub async fn send(&mut self, frame: &LinkFrame) -> io::Result<()> {
         self.feed(frame).await?;
         self.flush().await
     }
 
-    /// Puts a frame in the buffer, to be sent with others.
+    /// Appends a frame to the write buffer; [`flush`](Self::flush) sends it.
     ///
     /// # Errors
-    /// The system's error.
+    /// The system's error, or that the frame cannot be encoded.
     pub async fn feed(&mut self, frame: &LinkFrame) -> io::Result<()> {
         let mut bytes = Vec::new();
         ciborium::into_writer(frame, &mut bytes).map_err(io::Error::other)?;
         self.frames.feed(Bytes::from(bytes)).await
     }
 
-    /// Sends what is in the buffer.
+    /// Sends all buffered frames.
     ///
     /// # Errors
     /// The system's error.
--- a/crates/daemon/src/links/line_stream.rs
+++ b/crates/daemon/src/links/line_stream.rs
@@ -7,9 +7,9 @@
     net::TcpStream,
 };
 
-/// Longest line, in bytes; the protocol's bound for a message.
+/// Longest line, in bytes: the protocol's limit for one message.
 pub const MAX_LINE_BYTES: usize = 1024 * 1024;
-/// Room that one read has at least, in bytes: most messages fit.
+/// Smallest buffer space for one read, in bytes: most messages fit.
 const READ_BYTES: usize = 2 * 1024;
 
 /// A line exceeds [`MAX_LINE_BYTES`].
@@ -17,28 +17,29 @@
 #[snafu(display("a line is longer than {MAX_LINE_BYTES} bytes"))]
 pub struct LineTooLong;
 
-/// A connection that carries lines.
+/// A connection whose messages are lines that end with LF or CR LF.
 #[derive(Debug)]
 pub struct LineStream {
     stream: TcpStream,
     buffer: BytesMut,
+    /// Bytes of `buffer` that are known to hold no end of line.
     scanned: usize,
 }
 
 impl LineStream {
-    /// Reads lines from a connection.
+    /// Wraps a connection from which nothing has been read.
     pub fn new(stream: TcpStream) -> Self {
         Self { stream, buffer: BytesMut::new(), scanned: 0 }
     }
 
-    /// The next line without its end; `None` if the other end closed.
-    /// A line that was cut off by the close is dropped. Cancel safe.
+    /// Reads the next line, without its line ending; `None` if the peer closed the
+    /// connection. A line that the close left incomplete is dropped. Cancel safe.
     ///
     /// # Errors
-    /// The system's error; [`LineTooLong`] as invalid data.
+    /// The system's error; [`LineTooLong`] as `InvalidData`.
     pub async fn next_line(&mut self) -> io::Result<Option<Bytes>> {
         loop {
-            if let Some(line) = self.take_line() {
+            if let Some(line) = self.take_buffered_line() {
                 return Ok(Some(line));
             }
             if self.buffer.len() > MAX_LINE_BYTES {
@@ -51,8 +52,9 @@
         }
     }
 
-    /// A line that has arrived already.
-    pub fn take_line(&mut self) -> Option<Bytes> {
+    /// Removes the next complete line from the buffer, if there is one; does not
+    /// read from the connection.
+    pub fn take_buffered_line(&mut self) -> Option<Bytes> {
         let found = self.buffer[self.scanned..].iter().position(|byte| *byte == b'\n');
         let Some(offset) = found else {
             self.scanned = self.buffer.len();
@@ -68,7 +70,7 @@
         Some(line)
     }
 
-    /// Sends bytes.
+    /// Sends all of `bytes`, which must bring their line endings.
     ///
     /// # Errors
     /// The system's error.
@@ -76,9 +78,9 @@
         self.stream.write_all(bytes).await
     }
 
-    /// True if nothing arrived and the other end has not closed: only then may
-    /// an idle connection be used again.
-    pub fn is_quiet(&self) -> bool {
+    /// True if no data has arrived and the peer has not closed the connection: only
+    /// then may a pooled connection be used again. May consume a byte if false.
+    pub fn is_idle(&self) -> bool {
         let mut byte = [0];
         self.buffer.is_empty()
             && matches!(
@@ -87,7 +89,7 @@
             )
     }
 
-    /// Gives back memory that a long message took.
+    /// Frees the buffer if it is empty and has grown for a long message.
     pub fn shrink(&mut self) {
         if self.buffer.is_empty() && self.buffer.capacity() > 8 * READ_BYTES {
             self.buffer = BytesMut::new();
--- a/crates/daemon/src/links/mod.rs
+++ b/crates/daemon/src/links/mod.rs
@@ -1,9 +1,10 @@
-//! Links between hosts that find each other by seeds, and streams of lines.
+//! Framed links between the hosts of a platform, line streams to callers and
+//! databases, and the socket options of both.
 
 mod frame_link;
 mod line_stream;
 mod socket_options;
 
-pub use frame_link::{FrameReader, FrameWriter, LinkDialler, accept_link};
+pub use frame_link::{FrameReader, FrameWriter, LinkDialler, frame_connection};
 pub use line_stream::{LineStream, LineTooLong, MAX_LINE_BYTES};
-pub use socket_options::{accept_each, bind_listener, host_address, prepare_socket};
+pub use socket_options::{accept_connections, bind_listener, host_address, prepare_socket};
--- a/crates/daemon/src/links/socket_options.rs
+++ b/crates/daemon/src/links/socket_options.rs
@@ -11,27 +11,29 @@
     time::sleep,
 };
 
-/// New connections that may wait to be accepted.
+/// Connections that the system queues until they are accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
-/// Pause after a connection could not be accepted, for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, such as for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Time between keep-alive probes on a connection without traffic.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Sends at once, and notices within `silence` that the other end is gone.
+/// Disables Nagle's algorithm, and enables keep-alive probes and a limit of
+/// `ack_timeout` for unacknowledged data, so that a dead peer is detected.
 ///
 /// # Errors
-/// The system's error if an option is refused.
-pub fn prepare_socket(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+/// The system's error if a socket option is refused.
+pub fn prepare_socket(stream: &TcpStream, ack_timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(silence))?;
+    socket.set_tcp_user_timeout(Some(ack_timeout))?;
     let keepalive =
         TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Listens on an address that may have been in use a moment ago.
+/// Listens on an IPv4 address, even if closed connections of an earlier listener
+/// are still in TIME_WAIT.
 ///
 /// # Errors
 /// The system's error.
@@ -42,21 +44,28 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Accepts connections for good and hands each to `serve`; `who` names those who
-/// connect, for the log.
-pub async fn accept_each(listener: TcpListener, who: &'static str, serve: impl Fn(TcpStream)) {
+/// Accepts connections without end and passes each to `serve`; `client_kind` says
+/// in the log who connects.
+pub async fn accept_connections(
+    listener: TcpListener,
+    client_kind: &'static str,
+    serve: impl Fn(TcpStream),
+) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => serve(stream),
             Err(error) => {
-                tracing::warn!(target: "links", who, %error, "a connection was not accepted");
-                sleep(ACCEPT_PAUSE).await;
+                tracing::warn!(
+                    target: "links", who = client_kind, %error,
+                    "accepting a connection failed; retrying"
+                );
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// The address of a host that is numbered by its IPv4 address.
+/// Address of a port on `host`, whose id is its IPv4 address as a number.
 pub fn host_address(host: HostId, port: u16) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::from(host.0), port))
 }
