--- a/crates/daemon/src/entry_role/session_task.rs
+++ b/crates/daemon/src/entry_role/session_task.rs
@@ -128,7 +128,7 @@
     loop {
         let changed = shared.changed.notified();
         if shared.should_close_session(session.is_idle()) {
-            return Ok(lines.take_line());
+            return Ok(lines.take_buffered_line());
         }
         let idle = async {
             match idle_until {
--- a/crates/daemon/src/entry_role/upstream_link.rs
+++ b/crates/daemon/src/entry_role/upstream_link.rs
@@ -183,7 +183,7 @@
 
     /// True if the connection is still open and no unread data is left on it.
     pub(super) fn is_reusable(&self) -> bool {
-        self.lines.is_quiet()
+        self.lines.is_idle()
     }
 }
 
