--- a/crates/decisions/src/instances/instance_directory.rs
+++ b/crates/decisions/src/instances/instance_directory.rs
@@ -3,31 +3,31 @@
 use super::{InstanceDeparture, InstanceKey, InstanceRecord};
 use crate::clock::Moment;
 
-/// What an announcement changed.
+/// Result of recording an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DirectoryChange {
-    /// It was overtaken by a newer one.
+    /// Ignored: newer information is known.
     Stale,
-    /// It said what was known.
+    /// Equal to the known record, whose time is updated.
     Refreshed,
-    /// Something differs from before.
+    /// The database is new or differs from its known record.
     Changed,
 }
 
 #[derive(Debug, Clone)]
-struct HeardInstance {
+struct KnownInstance {
     record: InstanceRecord,
-    heard_at: Moment,
+    announced_at: Moment,
 }
 
 /// Databases by id, as their newest announcements describe them.
 ///
 /// Announcements may arrive late, through several hosts and out of order: the
-/// later start wins, then the higher count. An address belongs to the start
-/// that was born last.
+/// later start wins, then the higher sequence number. An address belongs to the
+/// database with the latest start.
 #[derive(Debug, Default)]
 pub struct InstanceDirectory {
-    instances: BTreeMap<Arc<str>, HeardInstance>,
+    instances: BTreeMap<Arc<str>, KnownInstance>,
     departed: BTreeMap<Arc<str>, u64>,
 }
 
@@ -39,61 +39,63 @@
             return DirectoryChange::Stale;
         }
         if let Some(known) = self.instances.get_mut(id) {
-            let order = (record.key.born_ms, record.sequence);
-            if order <= (known.record.key.born_ms, known.record.sequence) {
+            let version = (record.key.born_ms, record.sequence);
+            if version <= (known.record.key.born_ms, known.record.sequence) {
                 return DirectoryChange::Stale;
             }
-            known.heard_at = now;
+            known.announced_at = now;
             if known.record.equals_ignoring_sequence(record) {
                 known.record = record.clone();
                 return DirectoryChange::Refreshed;
             }
         }
-        if !self.take_address(record) {
+        if !self.claim_address(record) {
             return DirectoryChange::Stale;
         }
-        let heard = HeardInstance { record: record.clone(), heard_at: now };
-        self.instances.insert(id.clone(), heard);
+        let instance = KnownInstance { record: record.clone(), announced_at: now };
+        self.instances.insert(id.clone(), instance);
         DirectoryChange::Changed
     }
 
-    /// Removes a database that said it is gone; true if it was known.
+    /// Removes a database that announced its departure; true if it was known.
     pub fn record_departure(&mut self, departure: &InstanceDeparture) -> bool {
-        let known = self.instances.get(&departure.id).map(|heard| heard.record.key.born_ms);
+        let known = self.instances.get(&departure.id).map(|known| known.record.key.born_ms);
         let Some(born_ms) = departure.born_ms.or(known) else {
             return false;
         };
         let departed = self.departed.entry(departure.id.clone()).or_default();
         *departed = (*departed).max(born_ms);
-        let gone = known.is_some_and(|known| known <= born_ms);
-        if gone {
+        let removed = known.is_some_and(|known| known <= born_ms);
+        if removed {
             self.instances.remove(&departure.id);
         }
-        gone
+        removed
     }
 
-    /// True if this start of a database said that it is gone.
+    /// True if this start of a database, or a later one, announced its
+    /// departure.
     pub fn has_departed(&self, key: &InstanceKey) -> bool {
         self.departed.get(&key.id).is_some_and(|born| key.born_ms <= *born)
     }
 
     /// Removes one start of a database that may announce itself again.
     pub fn remove(&mut self, departure: &InstanceDeparture) {
-        let known = self.instances.get(&departure.id).map(|heard| heard.record.key.born_ms);
+        let known = self.instances.get(&departure.id).map(|known| known.record.key.born_ms);
         if known.is_some() && departure.born_ms.is_none_or(|born| known <= Some(born)) {
             self.instances.remove(&departure.id);
         }
     }
 
-    /// Removes databases that were silent for longer than `lifetime`.
+    /// Removes and returns databases without an announcement for longer than
+    /// `lifetime`.
     pub fn expire(&mut self, now: Moment, lifetime: Duration) -> Vec<InstanceDeparture> {
         let silent: Vec<InstanceDeparture> = self
             .instances
             .values()
-            .filter(|heard| now.since(heard.heard_at) > lifetime)
-            .map(|heard| InstanceDeparture {
-                id: heard.record.key.id.clone(),
-                born_ms: Some(heard.record.key.born_ms),
+            .filter(|known| now.since(known.announced_at) > lifetime)
+            .map(|known| InstanceDeparture {
+                id: known.record.key.id.clone(),
+                born_ms: Some(known.record.key.born_ms),
             })
             .collect();
         for departure in &silent {
@@ -104,7 +106,7 @@
 
     /// The newest start of a database id.
     pub fn get(&self, id: &str) -> Option<&InstanceRecord> {
-        self.instances.get(id).map(|heard| &heard.record)
+        self.instances.get(id).map(|known| &known.record)
     }
 
     /// One start of a database, if it is still the newest.
@@ -114,7 +116,7 @@
 
     /// Time since the last announcement of the database.
     pub fn time_since_announcement(&self, now: Moment, id: &str) -> Option<Duration> {
-        self.instances.get(id).map(|heard| now.since(heard.heard_at))
+        self.instances.get(id).map(|known| now.since(known.announced_at))
     }
 
     /// Databases of a service.
@@ -127,26 +129,27 @@
 
     /// All databases.
     pub fn records(&self) -> impl Iterator<Item = &InstanceRecord> {
-        self.instances.values().map(|heard| &heard.record)
+        self.instances.values().map(|known| &known.record)
     }
 
-    /// Databases that said they are gone.
+    /// Databases that announced their departure.
     pub fn departures(&self) -> impl Iterator<Item = InstanceDeparture> + '_ {
         self.departed
             .iter()
             .map(|(id, born_ms)| InstanceDeparture { id: id.clone(), born_ms: Some(*born_ms) })
     }
 
-    /// Gives the address to the record unless a later start holds it.
-    fn take_address(&mut self, record: &InstanceRecord) -> bool {
-        let holder = self
+    /// Removes another database with the record's address; false if that one
+    /// started later.
+    fn claim_address(&mut self, record: &InstanceRecord) -> bool {
+        let address_owner = self
             .records()
             .find(|other| other.address == record.address && other.key.id != record.key.id)
             .map(|other| other.key.clone());
-        match holder {
-            Some(holder) if holder.born_ms > record.key.born_ms => false,
-            Some(holder) => {
-                self.instances.remove(&holder.id);
+        match address_owner {
+            Some(owner) if owner.born_ms > record.key.born_ms => false,
+            Some(owner) => {
+                self.instances.remove(&owner.id);
                 true
             }
             None => true,
--- a/crates/decisions/src/instances/instance_record.rs
+++ b/crates/decisions/src/instances/instance_record.rs
@@ -2,13 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One start of a database: a database that starts again under its id is
-/// another one.
+/// One start of a database; a restart under the same id has another key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceKey {
-    /// Id that the database gave itself.
+    /// Id that the database chose for itself.
     pub id: Arc<str>,
-    /// When it started, in milliseconds since 1970 on its own clock.
+    /// Time of the start, in milliseconds since 1970 on the database's clock.
     pub born_ms: u64,
 }
 
@@ -18,7 +17,7 @@
     }
 }
 
-/// How a database sees itself.
+/// Role of a database in its own view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum InstanceRole {
     /// It accepts writes.
@@ -27,31 +26,32 @@
     Replica,
 }
 
-/// What a database last said of itself.
+/// Latest announcement of a database.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// Which start of which database.
+    /// Id and start of the database.
     pub key: InstanceKey,
     /// Grows with each announcement of one start.
     pub sequence: u64,
     /// Service it belongs to.
     pub service: Arc<str>,
-    /// Where it is reached.
+    /// Address at which it is reached.
     pub address: SocketAddr,
-    /// Data centre it stands in.
+    /// Data centre of the database.
     pub data_centre: Arc<str>,
-    /// Statements that it runs at a time.
+    /// Number of statements that it runs concurrently.
     pub slots: u32,
-    /// It is about to leave and gets no new work.
+    /// True if it is about to leave and gets no new requests.
     pub draining: bool,
-    /// How it sees itself.
+    /// Role in its own view.
     pub role: InstanceRole,
-    /// How much longer it stays slow after its start.
+    /// Remaining time for which it is slow after its start.
     pub warm_up: Duration,
 }
 
 impl InstanceRecord {
-    /// True if both are equal apart from the sequence number of the announcement.
+    /// True if both are equal apart from the sequence number. Data centre and
+    /// warm-up time are not compared.
     pub fn equals_ignoring_sequence(&self, other: &Self) -> bool {
         self.key == other.key
             && self.service == other.service
@@ -62,11 +62,11 @@
     }
 }
 
-/// A database that said it is gone.
+/// A database that announced its departure or expired.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceDeparture {
     /// Id of the database.
     pub id: Arc<str>,
-    /// Its start; `None` means whichever is known.
+    /// Time of its start; `None` means the start that is known.
     pub born_ms: Option<u64>,
 }
--- a/crates/decisions/src/instances/mod.rs
+++ b/crates/decisions/src/instances/mod.rs
@@ -1,4 +1,4 @@
-//! Databases that announce themselves by id and start, and their directory.
+//! Directory of databases, which announce themselves by id and start.
 
 mod instance_directory;
 mod instance_record;
--- a/crates/decisions/src/leases/held_lease.rs
+++ b/crates/decisions/src/leases/held_lease.rs
@@ -2,16 +2,16 @@
 
 use crate::clock::Moment;
 
-/// A lease as its holder sees it, counted from when it asked.
+/// A lease in its holder's view, counted from the time of the request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HeldLease {
     ends_at: Moment,
-    /// Index that the holder must have applied before the lease counts.
+    /// Index that the holder must have applied for the lease to be valid.
     required_index: u64,
 }
 
 impl HeldLease {
-    /// Extends the lease from the moment the request was sent.
+    /// Extends the lease, counted from the time at which the request was sent.
     pub fn extend(&mut self, sent_at: Moment, duration: Duration, required_index: u64) {
         let ends_at = sent_at + duration;
         if ends_at > self.ends_at {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Time for which the lease still holds, zero if it does not.
+    /// Remaining time of the lease, zero if it is not valid.
     pub fn remaining(&self, now: Moment, applied: u64) -> Duration {
         match self.is_valid(now, applied) {
             true => self.ends_at.since(now),
@@ -27,7 +27,8 @@
         }
     }
 
-    /// True if the lease holds and the holder has applied what it requires.
+    /// True if the lease has not expired and the holder has applied the
+    /// required index.
     pub fn is_valid(&self, now: Moment, applied: u64) -> bool {
         now < self.ends_at && applied >= self.required_index
     }
--- a/crates/decisions/src/leases/lease_table.rs
+++ b/crates/decisions/src/leases/lease_table.rs
@@ -2,50 +2,51 @@
 
 use crate::{clock::Moment, identity::HostId};
 
-/// Bound on how much slower a holder's clock may run, in percent.
+/// Upper bound on how much slower a holder's clock may run, in percent.
 const CLOCK_DRIFT_PERCENT: u32 = 2;
 
-/// Leases as the leader granted them, counted from when it answered.
+/// Leases in the view of the leader that grants them, counted from the time of
+/// its answer.
 #[derive(Debug, Default)]
 pub struct LeaseTable {
     duration: Duration,
     ends_at: BTreeMap<HostId, Moment>,
-    unknown_until: Moment,
+    earlier_leases_end_at: Moment,
 }
 
 impl LeaseTable {
-    /// An empty table of a new leader; leases granted by an earlier one may
-    /// hold for one duration more.
+    /// Creates the table of a new leader; leases granted by an earlier one may
+    /// be valid for one more lease duration.
     pub fn new(now: Moment, duration: Duration) -> Self {
         let mut table = Self { duration, ..Self::default() };
-        table.unknown_until = table.end_after(now);
+        table.earlier_leases_end_at = table.latest_expiry(now);
         table
     }
 
     /// Records a lease granted now and returns its length for the holder.
     pub fn grant(&mut self, now: Moment, host: HostId) -> Duration {
-        self.ends_at.insert(host, self.end_after(now));
+        self.ends_at.insert(host, self.latest_expiry(now));
         self.duration
     }
 
-    /// When the last lease of the host granted so far runs out, by whichever
-    /// leader it was granted.
+    /// Time at which the host's last lease expires, whichever leader granted
+    /// it.
     pub fn expires_at(&self, host: HostId) -> Moment {
         let known = self.ends_at.get(&host).copied().unwrap_or(Moment::ZERO);
-        known.max(self.unknown_until)
+        known.max(self.earlier_leases_end_at)
     }
 
-    /// Time since the host's lease ran out, zero while it may hold.
+    /// Time since the host's lease expired, zero while it may be valid.
     pub fn time_since_expiry(&self, now: Moment, host: HostId) -> Duration {
         now.since(self.expires_at(host))
     }
 
-    /// True if the host renewed with this leader and its lease holds.
+    /// True if this leader granted the host a lease that is still valid.
     pub fn has_live_lease(&self, now: Moment, host: HostId) -> bool {
         self.ends_at.get(&host).is_some_and(|end| now < *end)
     }
 
-    fn end_after(&self, now: Moment) -> Moment {
+    fn latest_expiry(&self, now: Moment) -> Moment {
         now + self.duration + self.duration * CLOCK_DRIFT_PERCENT / 100
     }
 }
--- a/crates/decisions/src/leases/mod.rs
+++ b/crates/decisions/src/leases/mod.rs
@@ -1,4 +1,4 @@
-//! Leases that let a host serve requests, granted by control's leader.
+//! Leases that let a host serve requests, granted by the control leader.
 
 mod held_lease;
 mod lease_table;
