--- a/crates/decisions/src/control_role/control_event.rs
+++ b/crates/decisions/src/control_role/control_event.rs
@@ -9,53 +9,55 @@
     routes::RouteTable,
 };
 
-/// What an operator asks of a control host.
+/// Order of an operator to a control host.
 #[derive(Debug, Clone)]
 pub enum OperatorOrder {
-    /// Put this configuration in force.
+    /// Replace the configuration.
     ReplaceRoutes {
-        /// The configuration, already checked.
+        /// The new configuration, already validated.
         table: Arc<RouteTable>,
         /// Wall-clock time, in milliseconds since 1970.
         at_unix_ms: u64,
     },
-    /// Read the configuration in force.
+    /// Read the current configuration.
     ReadRoutes,
 }
 
-/// Answer to an order.
+/// Answer to an [`OperatorOrder`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is in force, or a newer one is; durable on a majority.
+    /// This configuration, or a newer one, is current and durable on a
+    /// majority.
     Accepted {
-        /// Version in force.
+        /// Version of the current configuration.
         version: u64,
     },
-    /// The newest configuration.
+    /// The current configuration.
     Routes(Arc<RouteTable>),
-    /// No configuration was given yet.
+    /// No configuration has been committed yet.
     NoRoutes,
-    /// Another host leads.
+    /// Another host is the leader.
     NotLeader(HostId),
-    /// This host cannot tell; ask again.
+    /// The order got no definite answer and may be repeated; a new
+    /// configuration may still be committed.
     Unavailable,
 }
 
-/// Answer of the call that promotes a database.
+/// Result of a call that promotes a database.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromoteResult {
-    /// The database will lead.
+    /// The database will become primary.
     Accepted,
-    /// The database does not run.
+    /// The database is not running.
     NotRunning,
-    /// No clear answer.
+    /// The call failed or gave no definite answer.
     Unclear,
 }
 
 /// Input of a control host.
 #[derive(Debug)]
 pub enum ControlEvent {
-    /// Time passed.
+    /// Time has passed.
     Tick,
     /// Another control host opened a link.
     PeerLinked(HostId),
@@ -65,15 +67,15 @@
     EntryLinked(HostId),
     /// The link of an entry host closed.
     EntryClosed(HostId),
-    /// An entry host reported.
+    /// An entry host sent a report.
     Entry(HostId, EntryReport),
     /// Journal records up to this number are synced.
     Persisted(u64),
-    /// A database announced itself here.
+    /// A database announced itself to this host.
     Announced(InstanceRecord),
-    /// A database said here that it is gone.
+    /// A database announced its departure to this host.
     Departed(InstanceDeparture),
-    /// A database answered a question for its status, or did not.
+    /// A status request to a database ended; `None` if it got no answer.
     StatusAnswered(InstanceKey, Option<InstanceStatus>),
     /// The call to promote a database ended.
     PromoteAnswered {
@@ -81,48 +83,49 @@
         service: Arc<str>,
         /// The database.
         key: InstanceKey,
-        /// How it ended.
+        /// Result of the call.
         result: PromoteResult,
     },
-    /// An operator asks.
+    /// An operator gave an order.
     OperatorOrdered {
-        /// Number of the order on this host.
+        /// Number of the order on this host, repeated in
+        /// [`ControlEffect::Answer`].
         ticket: u64,
         /// The order.
         order: OperatorOrder,
     },
 }
 
-/// An event that is written to the log.
+/// Event that is written to the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ControlLogEvent {
-    /// This host leads from this term on.
+    /// This host became the leader of this term.
     LeadershipGained(u64),
-    /// This host no longer leads.
+    /// This host is no longer the leader.
     LeadershipLost,
     /// The voters changed.
     VotersChanged(Vec<HostId>),
-    /// A configuration is in force.
+    /// The configuration of this version is current.
     RoutesReplaced(u64),
-    /// The primary of a service, or what is done about it, changed.
+    /// The primary of a service, or the phase of its term, changed.
     TermChanged {
         /// The service.
         service: Arc<str>,
-        /// Count of changes.
+        /// Number of the service's term.
         number: u64,
-        /// What happened, in words.
+        /// The new state as text.
         what: Arc<str>,
     },
     /// A database appeared or changed.
     InstanceChanged {
         /// The database.
         key: InstanceKey,
-        /// What happened, in words.
+        /// The new state as text.
         what: &'static str,
     },
 }
 
-/// Output of a control host, in the order in which it must be carried out.
+/// Output of a control host; effects are executed in the order given.
 #[derive(Debug)]
 pub enum ControlEffect {
     /// Keep a link to this control host.
@@ -131,7 +134,8 @@
     SendPeer(HostId, ControlMessage),
     /// Send an update to an entry host.
     SendEntry(HostId, EntryUpdate),
-    /// Append records to the journal, sync, then report the number.
+    /// Append records to the journal, sync it, then report the number with
+    /// [`ControlEvent::Persisted`].
     Persist {
         /// Number to report back.
         number: u64,
@@ -144,16 +148,16 @@
         key: InstanceKey,
         /// Its service.
         service: Arc<str>,
-        /// Where it is.
+        /// Address of the database.
         address: SocketAddr,
     },
-    /// Call for the promotion of a database.
+    /// Ask the platform to promote a database.
     Promote {
         /// The service.
         service: Arc<str>,
         /// The database.
         key: InstanceKey,
-        /// Grows with each leader.
+        /// Fencing token, which grows with each leader.
         fence: u64,
     },
     /// Answer an order.
--- a/crates/decisions/src/control_role/control_host_state.rs
+++ b/crates/decisions/src/control_role/control_host_state.rs
@@ -22,29 +22,30 @@
     routes::PackedRoutes,
 };
 
-/// Log entries kept in memory. Entries carry whole configurations, so few are
-/// kept: this many of the largest allowed size fit a small host's memory.
+/// Number of log entries kept in memory. Entries carry whole configurations,
+/// and this many of the largest allowed size fit into the memory of a small
+/// host.
 const COMPACTION_ENTRIES: usize = 64;
 
-/// Silence of control's leader before an election: many times the way between
-/// data centres, and short beside an entry host's lease.
+/// Silence of the control leader before an election: many times the latency
+/// between data centres, and short compared with an entry host's lease.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time between the leader's heartbeats: four fit an election timeout.
+/// Time between the leader's heartbeats: four fit into an election timeout.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(75);
-/// Lease of an entry host: it serves this long without control, and a change
-/// of primary waits this long for a host that is cut off.
-const ENTRY_LEASE: Duration = Duration::from_millis(3_500);
-/// Announcements in a row that may stay away before a database is forgotten.
-const LOST_ANNOUNCEMENTS: u32 = 10;
+/// Lease of an entry host: it serves this long without contact with the control
+/// leader, and a change of primary waits this long for a host that is cut off.
+const ENTRY_LEASE_DURATION: Duration = Duration::from_millis(3_500);
+/// Consecutive announcements that may be missed before a database is removed.
+const MISSED_ANNOUNCEMENT_LIMIT: u32 = 10;
 
-/// What a control host is told at its start.
+/// Settings of a control host, given at its start.
 #[derive(Debug, Clone)]
 pub struct ControlSettings {
     /// Number of this host.
     pub host: HostId,
-    /// Control hosts that may be asked first.
+    /// Control hosts to contact first.
     pub seeds: BTreeSet<HostId>,
-    /// The deployment starts for the first time, and the seeds are its voters.
+    /// True at the first start of the deployment: the seeds become its voters.
     pub bootstrap: bool,
     /// Shortest silence of a leader before an election.
     pub election_timeout: Duration,
@@ -52,72 +53,77 @@
     pub heartbeat_interval: Duration,
     /// Length of an entry host's lease.
     pub lease_duration: Duration,
-    /// Silence after which a database is forgotten.
+    /// Time without an announcement after which a database is removed.
     pub announcement_lifetime: Duration,
-    /// Differs at every start.
+    /// Random seed, different at every start.
     pub seed: u64,
 }
 
 impl ControlSettings {
-    /// Settings with the product's own times, where databases announce
-    /// themselves each `announcement_interval`.
+    /// Settings with the default times, for databases that announce themselves
+    /// every `announcement_interval`.
     pub fn new(
-        me: HostId,
+        host: HostId,
         seeds: BTreeSet<HostId>,
         bootstrap: bool,
         announcement_interval: Duration,
         seed: u64,
     ) -> Self {
         Self {
-            host: me,
+            host,
             seeds,
             bootstrap,
             election_timeout: ELECTION_TIMEOUT,
             heartbeat_interval: HEARTBEAT_INTERVAL,
-            lease_duration: ENTRY_LEASE,
-            announcement_lifetime: announcement_interval * LOST_ANNOUNCEMENTS,
+            lease_duration: ENTRY_LEASE_DURATION,
+            announcement_lifetime: announcement_interval * MISSED_ANNOUNCEMENT_LIMIT,
             seed,
         }
     }
 }
 
-/// What a control host knows of an entry host.
+/// State of an entry host as last reported.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EntryProgress {
     pub(super) applied: u64,
     pub(super) routes_version: u64,
     pub(super) linked: bool,
     pub(super) leaving: bool,
-    pub(super) heard_at: Moment,
-    /// Hash of the entry hosts that it was told of.
-    pub(super) told_hosts: u64,
+    pub(super) last_heard_at: Moment,
+    /// Hash of the list of entry hosts last sent to it.
+    pub(super) sent_hosts_hash: u64,
 }
 
-/// State that only the leader holds; a new leader starts with an empty one.
+/// State that only the leader keeps; a new leader starts with an empty one.
 #[derive(Debug)]
 pub(super) struct LeaderState {
-    pub(super) since: Moment,
+    pub(super) elected_at: Moment,
     pub(super) leases: LeaseTable,
+    /// Polls by service, with the number of the term that each is about.
     pub(super) polls: BTreeMap<Arc<str>, (u64, SuspicionPoll)>,
     pub(super) changes: BTreeMap<Arc<str>, TermChange>,
+    /// Time at which this leader first saw the steady phase of a service's term
+    /// of that number.
     pub(super) steady_since: BTreeMap<Arc<str>, (u64, Moment)>,
-    pub(super) proposed: Vec<(ControlCommand, Moment)>,
-    pub(super) survey_due: Moment,
+    /// Commands, with the time at which each may be proposed again.
+    pub(super) recent_proposals: Vec<(ControlCommand, Moment)>,
+    pub(super) next_check_at: Moment,
 }
 
-/// What applied commands changed and nobody was told yet.
+/// Changes by applied commands that have not been published yet.
 #[derive(Debug, Default)]
-struct UnsettledChange {
-    /// The leader may have something to do.
+struct PendingChanges {
+    /// At least one command was applied, so leader tasks may be due.
     any: bool,
-    /// Entry hosts follow at least one of the commands.
+    /// At least one command changed state that entry hosts apply.
     for_entries: bool,
     routes: bool,
     /// Services whose terms changed.
     services: BTreeSet<Arc<str>>,
 }
 
-/// All that one control host knows and decides.
+/// State machine of one control host: it takes events and returns effects, and
+/// does no I/O itself.
 #[derive(Debug)]
 pub struct ControlHost {
     pub(super) settings: ControlSettings,
@@ -125,20 +131,20 @@
     pub(super) control: ControlState,
     pub(super) directory: InstanceDirectory,
     pub(super) peers: BTreeSet<HostId>,
-    pub(super) entries: BTreeMap<HostId, EntryProgress>,
+    pub(super) entry_hosts: BTreeMap<HostId, EntryProgress>,
     pub(super) leader_state: Option<LeaderState>,
     pub(super) orders: Vec<PendingOrder>,
-    /// The configuration as entry hosts get it.
+    /// The configuration, packed for entry hosts.
     pub(super) packed: Option<Arc<PackedRoutes>>,
-    /// Index of the last command that entry hosts follow.
-    pub(super) entry_index: u64,
-    /// What the commands of this step changed.
-    unsettled: UnsettledChange,
+    /// Index of the last command that changed state which entry hosts apply.
+    pub(super) entry_state_index: u64,
+    /// Changes by the commands applied in this step.
+    pending_changes: PendingChanges,
     pub(super) effects: Vec<ControlEffect>,
 }
 
 impl ControlHost {
-    /// Starts a host with what its journal holds.
+    /// Restores a host from the records of its journal.
     pub fn new(
         settings: ControlSettings,
         journal: impl IntoIterator<Item = JournalRecord>,
@@ -158,53 +164,57 @@
         let agreement = AgreementState::restore(settings.host, agreement_settings, journal, now);
         let control = agreement.restored_state().clone();
         let mut host = Self {
-            entry_index: control.applied,
+            entry_state_index: control.applied,
             control,
             agreement,
             directory: InstanceDirectory::default(),
             peers: BTreeSet::new(),
-            entries: BTreeMap::new(),
+            entry_hosts: BTreeMap::new(),
             leader_state: None,
             orders: Vec::new(),
             packed: None,
-            unsettled: UnsettledChange::default(),
+            pending_changes: PendingChanges::default(),
             effects: Vec::new(),
             settings,
         };
         let known: Vec<HostId> =
             host.settings.seeds.union(host.agreement.voters()).copied().collect();
-        known.into_iter().for_each(|peer| host.know_peer(peer));
-        host.recall_instances(now);
+        known.into_iter().for_each(|peer| host.add_peer(peer));
+        host.restore_instances(now);
         host
     }
 
-    /// Takes one event and returns what to do, in order.
+    /// Processes one event and returns the effects to execute, in order.
     pub fn step(&mut self, now: Moment, event: ControlEvent) -> Vec<ControlEffect> {
         match event {
             ControlEvent::Tick => self.tick(now),
-            ControlEvent::PeerLinked(peer) => self.peer_linked(now, peer),
-            ControlEvent::Peer(from, message) => self.receive(now, from, message),
-            ControlEvent::EntryLinked(host) => self.entry_linked(now, host),
-            ControlEvent::EntryClosed(host) => self.entry_closed(host),
-            ControlEvent::Entry(host, report) => self.entry_reported(now, host, report),
+            ControlEvent::PeerLinked(peer) => self.handle_peer_link(now, peer),
+            ControlEvent::Peer(from, message) => self.handle_peer_message(now, from, message),
+            ControlEvent::EntryLinked(host) => self.handle_entry_link(now, host),
+            ControlEvent::EntryClosed(host) => self.handle_entry_close(host),
+            ControlEvent::Entry(host, report) => self.handle_entry_report(now, host, report),
             ControlEvent::Persisted(number) => {
                 self.step_agreement(now, AgreementEvent::Persisted(number));
             }
-            ControlEvent::Announced(record) => self.announced(now, record),
-            ControlEvent::Departed(departure) => self.departed(now, departure),
-            ControlEvent::StatusAnswered(key, status) => self.status_answered(now, key, status),
+            ControlEvent::Announced(record) => self.handle_announcement(now, record),
+            ControlEvent::Departed(departure) => self.handle_departure(now, departure),
+            ControlEvent::StatusAnswered(key, status) => {
+                self.handle_status_answer(now, key, status)
+            }
             ControlEvent::PromoteAnswered { service, key, result } => {
-                self.promote_answered(now, &service, key, result);
+                self.handle_promote_answer(now, &service, key, result);
+            }
+            ControlEvent::OperatorOrdered { ticket, order } => {
+                self.handle_order(now, ticket, order)
             }
-            ControlEvent::OperatorOrdered { ticket, order } => self.ordered(now, ticket, order),
         }
-        while self.unsettled.any {
-            self.settle(now);
+        while self.pending_changes.any {
+            self.publish_changes(now);
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// When time alone changes something.
+    /// Time at which the next [`ControlEvent::Tick`] is due.
     pub fn next_due(&self, now: Moment) -> Moment {
         let agreement = self.agreement.next_due();
         match &self.leader_state {
@@ -212,38 +222,38 @@
                 .changes
                 .values()
                 .map(|change| change.next_due(now))
-                .fold(agreement.min(leader_state.survey_due), Moment::min),
+                .fold(agreement.min(leader_state.next_check_at), Moment::min),
             None => agreement,
         }
     }
 
-    /// The configuration as applied here.
+    /// The replicated state as applied on this host.
     pub fn control(&self) -> &ControlState {
         &self.control
     }
 
-    /// The agreement, for inspection.
+    /// State of the agreement, for inspection.
     pub fn agreement(&self) -> &AgreementState {
         &self.agreement
     }
 
-    /// Databases as announced.
+    /// Databases by their announcements.
     pub fn directory(&self) -> &InstanceDirectory {
         &self.directory
     }
 
-    /// True if this host leads and can prove it.
+    /// True if this host is the leader and no other leader can exist yet.
     pub fn is_current_leader(&self, now: Moment) -> bool {
         self.leader_state.is_some() && self.agreement.is_current_leader(now)
     }
 
     fn tick(&mut self, now: Moment) {
         self.step_agreement(now, AgreementEvent::Tick);
-        self.lead(now);
+        self.run_leader_tasks(now);
     }
 
-    fn peer_linked(&mut self, now: Moment, peer: HostId) {
-        self.know_peer(peer);
+    fn handle_peer_link(&mut self, now: Moment, peer: HostId) {
+        self.add_peer(peer);
         self.agreement.admit_learner(now, peer);
         let peers = self.known_hosts();
         self.send_peer(peer, ControlMessage::Peers(peers));
@@ -259,39 +269,39 @@
         hosts.into_iter().collect()
     }
 
-    fn know_peer(&mut self, peer: HostId) {
+    fn add_peer(&mut self, peer: HostId) {
         if peer != self.settings.host && self.peers.insert(peer) {
             self.effects.push(ControlEffect::Dial(peer));
             let hosts = self.known_hosts();
-            self.update_entries(EntryUpdate::Hosts(hosts));
+            self.broadcast_to_entry_hosts(EntryUpdate::Hosts(hosts));
         }
     }
 
-    fn receive(&mut self, now: Moment, from: HostId, message: ControlMessage) {
+    fn handle_peer_message(&mut self, now: Moment, from: HostId, message: ControlMessage) {
         match message {
             ControlMessage::Agreement(message) => {
                 self.step_agreement(now, AgreementEvent::Received(from, message));
             }
-            ControlMessage::Peers(peers) => peers.into_iter().for_each(|p| self.know_peer(p)),
-            ControlMessage::Announced(records) => self.announced_elsewhere(now, records),
-            ControlMessage::Departed(departures) => self.departed_elsewhere(now, departures),
-            ControlMessage::Expired(departures) => self.expired_elsewhere(departures),
+            ControlMessage::Peers(peers) => peers.into_iter().for_each(|p| self.add_peer(p)),
+            ControlMessage::Announced(records) => self.apply_announcements(now, records),
+            ControlMessage::Departed(departures) => self.apply_departures(now, departures),
+            ControlMessage::Expired(departures) => self.apply_expirations(departures),
         }
     }
 
     pub(super) fn step_agreement(&mut self, now: Moment, event: AgreementEvent) {
         let effects = self.agreement.step(now, event);
-        self.carry_out(now, effects);
+        self.execute_effects(now, effects);
     }
 
     /// Proposes a command if this host leads; returns its index.
     pub(super) fn propose(&mut self, now: Moment, command: ControlCommand) -> Option<u64> {
         let (index, effects) = self.agreement.propose(now, command).ok()?;
-        self.carry_out(now, effects);
+        self.execute_effects(now, effects);
         Some(index)
     }
 
-    fn carry_out(&mut self, now: Moment, effects: Vec<AgreementEffect>) {
+    fn execute_effects(&mut self, now: Moment, effects: Vec<AgreementEffect>) {
         for effect in effects {
             match effect {
                 AgreementEffect::Send(to, message) => {
@@ -301,71 +311,71 @@
                     self.effects.push(ControlEffect::Persist { number, records });
                 }
                 AgreementEffect::Committed { index, payload } => {
-                    self.committed(now, index, payload)
+                    self.apply_committed(now, index, payload)
                 }
-                AgreementEffect::Installed(snapshot) => self.installed(now, *snapshot),
-                AgreementEffect::Elected(term) => self.elected(now, term),
-                AgreementEffect::SteppedDown => self.deposed(),
+                AgreementEffect::Installed(snapshot) => self.install_snapshot(now, *snapshot),
+                AgreementEffect::Elected(term) => self.become_leader(now, term),
+                AgreementEffect::SteppedDown => self.step_down(),
             }
         }
     }
 
-    fn committed(&mut self, now: Moment, index: u64, payload: EntryPayload) {
+    fn apply_committed(&mut self, now: Moment, index: u64, payload: EntryPayload) {
         match payload {
             EntryPayload::Voters { voters, .. } => {
-                voters.iter().for_each(|voter| self.know_peer(*voter));
+                voters.iter().for_each(|voter| self.add_peer(*voter));
                 let voters = voters.into_iter().collect();
                 self.effects.push(ControlEffect::Log(ControlLogEvent::VotersChanged(voters)));
             }
             EntryPayload::Command(command) => {
                 self.control.apply(index, &command);
-                self.applied(now, index, &command);
+                self.record_applied(now, index, &command);
                 self.answer_orders(index);
             }
         }
         let effects = self.agreement.compact(&self.control, index);
-        self.carry_out(now, effects);
+        self.execute_effects(now, effects);
     }
 
-    /// Notes what a command changed. Acting on it waits until all that is
-    /// committed is applied: a host that starts again applies its whole log at
-    /// once, and decisions of long ago must not be carried out again.
-    fn applied(&mut self, now: Moment, index: u64, command: &ControlCommand) {
-        self.unsettled.any = true;
+    /// Records what a command changed. The changes are published after all
+    /// committed commands are applied: a restarted host applies its whole log
+    /// at once and must not execute old decisions again.
+    fn record_applied(&mut self, now: Moment, index: u64, command: &ControlCommand) {
+        self.pending_changes.any = true;
         match command {
-            ControlCommand::RoutesReplaced { .. } => self.unsettled.routes = true,
+            ControlCommand::RoutesReplaced { .. } => self.pending_changes.routes = true,
             ControlCommand::ServicePrimaryKnown { service, .. }
             | ControlCommand::ServiceTermEnded { service, .. }
             | ControlCommand::ServicePrimaryChosen { service, .. }
             | ControlCommand::ServiceTermStarted { service, .. } => {
-                self.unsettled.services.insert(service.clone());
+                self.pending_changes.services.insert(service.clone());
             }
             ControlCommand::InstanceSeen(record) => {
-                self.learn_instances(now, vec![record.clone()]);
+                self.record_announcements(now, vec![record.clone()]);
                 return;
             }
             _ => return,
         }
-        self.entry_index = index;
-        self.unsettled.for_entries = true;
+        self.entry_state_index = index;
+        self.pending_changes.for_entries = true;
     }
 
-    /// Tells entry hosts and the log what the applied commands changed, and goes
-    /// on from there.
-    fn settle(&mut self, now: Moment) {
-        let change = std::mem::take(&mut self.unsettled);
+    /// Sends the changes by applied commands to entry hosts and the log, then
+    /// runs the leader tasks.
+    fn publish_changes(&mut self, now: Moment) {
+        let change = std::mem::take(&mut self.pending_changes);
         if change.routes {
             let version = self.control.routes_version();
             self.effects.push(ControlEffect::Log(ControlLogEvent::RoutesReplaced(version)));
         }
-        change.services.iter().for_each(|service| self.note_term(service));
+        change.services.iter().for_each(|service| self.log_term_change(service));
         if change.for_entries {
-            self.push_state();
+            self.send_state_to_all();
         }
-        self.lead(now);
+        self.run_leader_tasks(now);
     }
 
-    fn note_term(&mut self, service: &Arc<str>) {
+    fn log_term_change(&mut self, service: &Arc<str>) {
         if let Some(term) = self.control.terms.get(service) {
             let what = format!("primary {}, {:?}", term.primary, term.phase);
             self.effects.push(ControlEffect::Log(ControlLogEvent::TermChanged {
@@ -376,39 +386,39 @@
         }
     }
 
-    fn installed(&mut self, now: Moment, snapshot: StateSnapshot) {
-        snapshot.voters.iter().for_each(|voter| self.know_peer(*voter));
+    fn install_snapshot(&mut self, now: Moment, snapshot: StateSnapshot) {
+        snapshot.voters.iter().for_each(|voter| self.add_peer(*voter));
         self.control = snapshot.state;
-        self.entry_index = self.control.applied;
-        self.recall_instances(now);
-        self.push_state();
+        self.entry_state_index = self.control.applied;
+        self.restore_instances(now);
+        self.send_state_to_all();
     }
 
-    fn elected(&mut self, now: Moment, term: u64) {
+    fn become_leader(&mut self, now: Moment, term: u64) {
         self.effects.push(ControlEffect::Log(ControlLogEvent::LeadershipGained(term)));
         self.leader_state = Some(LeaderState {
-            since: now,
+            elected_at: now,
             leases: LeaseTable::new(now, self.settings.lease_duration),
             polls: BTreeMap::new(),
             changes: BTreeMap::new(),
             steady_since: BTreeMap::new(),
-            proposed: Vec::new(),
-            survey_due: now,
+            recent_proposals: Vec::new(),
+            next_check_at: now,
         });
-        for entry in self.entries.values_mut() {
-            entry.applied = 0;
+        for entry_host in self.entry_hosts.values_mut() {
+            entry_host.applied = 0;
         }
         for peer in self.peers.clone() {
             self.agreement.admit_learner(now, peer);
         }
         let leader = Some(self.settings.host);
-        self.update_entries(EntryUpdate::NotLeader { leader });
+        self.broadcast_to_entry_hosts(EntryUpdate::NotLeader { leader });
     }
 
-    fn deposed(&mut self) {
+    fn step_down(&mut self) {
         self.effects.push(ControlEffect::Log(ControlLogEvent::LeadershipLost));
         self.leader_state = None;
-        self.refuse_orders();
+        self.fail_pending_orders();
     }
 
     pub(super) fn send_peer(&mut self, to: HostId, message: ControlMessage) {
--- a/crates/decisions/src/control_role/directory_flow.rs
+++ b/crates/decisions/src/control_role/directory_flow.rs
@@ -6,33 +6,38 @@
 };
 
 impl ControlHost {
-    /// A database announced itself at this host.
-    pub(super) fn announced(&mut self, now: Moment, record: InstanceRecord) {
+    /// Records an announcement made to this host and forwards it.
+    pub(super) fn handle_announcement(&mut self, now: Moment, record: InstanceRecord) {
         match self.directory.record_announcement(now, &record) {
             DirectoryChange::Stale => {}
             DirectoryChange::Refreshed => {
-                // Only the leader forgets silent databases.
+                // Only the leader expires silent databases, so only it needs
+                // repeated announcements.
                 if let Some(leader) = self.agreement.leader().filter(|l| *l != self.settings.host) {
                     self.send_peer(leader, ControlMessage::Announced(vec![record]));
                 }
             }
             DirectoryChange::Changed => {
-                self.note_instance(&record);
-                self.update_entries(EntryUpdate::Announced(vec![record.clone()]));
-                self.tell_peers(&ControlMessage::Announced(vec![record]));
-                self.lead(now);
+                self.log_instance_change(&record);
+                self.broadcast_to_entry_hosts(EntryUpdate::Announced(vec![record.clone()]));
+                self.broadcast_to_peers(&ControlMessage::Announced(vec![record]));
+                self.run_leader_tasks(now);
             }
         }
     }
 
-    pub(super) fn announced_elsewhere(&mut self, now: Moment, records: Vec<InstanceRecord>) {
-        if self.learn_instances(now, records) {
-            self.lead(now);
+    pub(super) fn apply_announcements(&mut self, now: Moment, records: Vec<InstanceRecord>) {
+        if self.record_announcements(now, records) {
+            self.run_leader_tasks(now);
         }
     }
 
-    /// Takes what is known of databases, and says whether any of it was news.
-    pub(super) fn learn_instances(&mut self, now: Moment, records: Vec<InstanceRecord>) -> bool {
+    /// Records announcements; true if any of them changed the directory.
+    pub(super) fn record_announcements(
+        &mut self,
+        now: Moment,
+        records: Vec<InstanceRecord>,
+    ) -> bool {
         let changed: Vec<InstanceRecord> = records
             .into_iter()
             .filter(|record| {
@@ -41,58 +46,60 @@
             .collect();
         let any = !changed.is_empty();
         if any {
-            self.update_entries(EntryUpdate::Announced(changed));
+            self.broadcast_to_entry_hosts(EntryUpdate::Announced(changed));
         }
         any
     }
 
-    /// Looks for databases where they were before this host restarted, until
-    /// they announce themselves again.
-    pub(super) fn recall_instances(&mut self, now: Moment) {
+    /// Fills the directory, which is kept in memory only, from the replicated
+    /// state: databases are used as last known until they announce themselves
+    /// again.
+    pub(super) fn restore_instances(&mut self, now: Moment) {
         let records: Vec<InstanceRecord> = self.control.instances.values().cloned().collect();
-        self.announced_elsewhere(now, records);
+        self.apply_announcements(now, records);
     }
 
-    /// A database said at this host that it is gone.
-    pub(super) fn departed(&mut self, now: Moment, departure: InstanceDeparture) {
+    /// Records a departure announced to this host and forwards it.
+    pub(super) fn handle_departure(&mut self, now: Moment, departure: InstanceDeparture) {
         if self.directory.record_departure(&departure) {
-            self.update_entries(EntryUpdate::Departed(vec![departure.clone()]));
-            self.tell_peers(&ControlMessage::Departed(vec![departure]));
-            self.lead(now);
+            self.broadcast_to_entry_hosts(EntryUpdate::Departed(vec![departure.clone()]));
+            self.broadcast_to_peers(&ControlMessage::Departed(vec![departure]));
+            self.run_leader_tasks(now);
         }
     }
 
-    pub(super) fn departed_elsewhere(&mut self, now: Moment, departures: Vec<InstanceDeparture>) {
+    pub(super) fn apply_departures(&mut self, now: Moment, departures: Vec<InstanceDeparture>) {
         let gone: Vec<InstanceDeparture> = departures
             .into_iter()
             .filter(|departure| self.directory.record_departure(departure))
             .collect();
         if !gone.is_empty() {
-            self.update_entries(EntryUpdate::Departed(gone));
-            self.lead(now);
+            self.broadcast_to_entry_hosts(EntryUpdate::Departed(gone));
+            self.run_leader_tasks(now);
         }
     }
 
-    pub(super) fn expired_elsewhere(&mut self, departures: Vec<InstanceDeparture>) {
+    pub(super) fn apply_expirations(&mut self, departures: Vec<InstanceDeparture>) {
         for departure in &departures {
             self.directory.remove(departure);
         }
-        self.update_entries(EntryUpdate::Expired(departures));
+        self.broadcast_to_entry_hosts(EntryUpdate::Expired(departures));
     }
 
-    /// Forgets databases that no host has heard for long.
-    pub(super) fn expire_instances(&mut self, now: Moment) {
+    /// Removes databases that have sent no announcement for the announcement
+    /// lifetime.
+    pub(super) fn expire_silent_instances(&mut self, now: Moment) {
         let silent = self.directory.expire(now, self.settings.announcement_lifetime);
         if !silent.is_empty() {
-            self.update_entries(EntryUpdate::Expired(silent.clone()));
+            self.broadcast_to_entry_hosts(EntryUpdate::Expired(silent.clone()));
             for departure in silent.clone() {
                 self.propose(now, ControlCommand::InstanceGone(departure));
             }
-            self.tell_peers(&ControlMessage::Expired(silent));
+            self.broadcast_to_peers(&ControlMessage::Expired(silent));
         }
     }
 
-    fn note_instance(&mut self, record: &InstanceRecord) {
+    fn log_instance_change(&mut self, record: &InstanceRecord) {
         let what = match (record.draining, record.role) {
             (true, _) => "is draining",
             (false, InstanceRole::Primary) => "serves as primary",
@@ -102,7 +109,7 @@
         self.effects.push(ControlEffect::Log(ControlLogEvent::InstanceChanged { key, what }));
     }
 
-    fn tell_peers(&mut self, message: &ControlMessage) {
+    fn broadcast_to_peers(&mut self, message: &ControlMessage) {
         for peer in self.peers.clone() {
             self.send_peer(peer, message.clone());
         }
--- a/crates/decisions/src/control_role/messages.rs
+++ b/crates/decisions/src/control_role/messages.rs
@@ -11,94 +11,97 @@
     routes::PackedRoutes,
 };
 
-/// Messages between control hosts.
+/// Message between control hosts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ControlMessage {
-    /// Agreement on the log.
+    /// Message of the agreement on the log.
     Agreement(AgreementMessage),
     /// Control hosts that the sender knows.
     Peers(Vec<HostId>),
-    /// Databases announced themselves at the sender.
+    /// Databases that announced themselves to the sender.
     Announced(Vec<InstanceRecord>),
-    /// Databases said that they are gone.
+    /// Databases that announced their departure.
     Departed(Vec<InstanceDeparture>),
-    /// Databases were silent for too long; they may come back.
+    /// Databases that sent no announcement for too long; they may announce
+    /// themselves again.
     Expired(Vec<InstanceDeparture>),
 }
 
-/// What an entry host tells a control host.
+/// Message from an entry host to a control host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryReport {
-    /// Asks for a lease and says what is applied.
+    /// Requests a lease and reports what the entry host has applied.
     Renew {
-        /// When it asked, on its own clock; echoed.
+        /// Time of the request on the entry host's clock, echoed in the grant.
         sent_at: Moment,
-        /// Index of control's log that it has applied.
+        /// Index of the control log that it has applied.
         applied: u64,
         /// Version of the configuration that it has.
         routes_version: u64,
-        /// It is stopping and must not be a gateway.
+        /// True if it is shutting down and must not be a gateway.
         leaving: bool,
     },
-    /// Whether it reaches a primary.
+    /// Reports whether the entry host can reach a primary.
     PrimaryReachable {
         /// The service.
         service: Arc<str>,
-        /// The term.
+        /// Number of the service's term.
         number: u64,
         /// False if connections to it fail.
         reachable: bool,
     },
 }
 
-/// What a control host tells an entry host.
+/// Message from a control host to an entry host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum EntryUpdate {
-    /// A lease, counted from the moment it was asked for.
+    /// A lease, counted from the time of its request.
     Grant {
-        /// Echo of the holder's time.
+        /// Time of the request on the holder's clock.
         sent_at: Moment,
         /// Length of the lease.
         duration: Duration,
-        /// Index that must be applied before the lease counts.
+        /// Index that the holder must have applied for the lease to be valid.
         required_index: u64,
-        /// Entry hosts that share the databases' connections.
+        /// Number of entry hosts that share the databases' connections.
         entry_hosts: u32,
     },
-    /// The sender does not lead.
+    /// Names the leader: sent on a new link, by a new leader, and in place of a
+    /// grant.
     NotLeader {
-        /// The leader, if known.
+        /// The leader, if known to the sender.
         leader: Option<HostId>,
     },
-    /// The committed state that entry hosts follow.
+    /// Committed state that entry hosts apply.
     State {
-        /// Index of the log.
+        /// Index of the control log.
         index: u64,
-        /// The configuration, if newer than what the host has.
+        /// The configuration, if newer than the host's.
         routes: Option<Arc<PackedRoutes>>,
-        /// Primaries.
+        /// Terms of all services.
         terms: Vec<ServiceTerm>,
     },
     /// Control hosts that the sender knows.
     Hosts(Vec<HostId>),
     /// Entry hosts that may be gateways of databases.
     EntryHosts(Vec<HostId>),
-    /// Databases announced themselves.
+    /// Databases that announced themselves.
     Announced(Vec<InstanceRecord>),
-    /// Databases said that they are gone.
+    /// Databases that announced their departure.
     Departed(Vec<InstanceDeparture>),
-    /// Databases were silent for too long; they may come back.
+    /// Databases that sent no announcement for too long; they may announce
+    /// themselves again.
     Expired(Vec<InstanceDeparture>),
-    /// Asks whether the host reaches a primary.
+    /// Asks whether the entry host can reach a primary.
     Probe {
         /// The service.
         service: Arc<str>,
-        /// The term.
+        /// Number of the service's term.
         number: u64,
     },
 }
 
-/// Who opens a link.
+/// Role of the host that opens a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkRole {
     /// A control host.
@@ -107,20 +110,20 @@
     Entry,
 }
 
-/// One frame between two hosts.
+/// Frame of a link between two hosts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LinkFrame {
     /// The first frame of a link.
     Hello {
-        /// Who opens it.
+        /// Role of the host that opens the link.
         role: LinkRole,
-        /// Number of the host.
+        /// Number of that host.
         host: HostId,
     },
-    /// Between control hosts.
+    /// Message between control hosts.
     Control(Box<ControlMessage>),
-    /// From an entry host.
+    /// Message from an entry host.
     Report(EntryReport),
-    /// To an entry host.
+    /// Message to an entry host.
     Update(EntryUpdate),
 }
--- a/crates/decisions/src/control_role/mod.rs
+++ b/crates/decisions/src/control_role/mod.rs
@@ -1,5 +1,6 @@
-//! A control host of a deployment whose hosts find each other by seeds: orders
-//! of operators, announcements, leases of entry hosts and primaries.
+//! State of a control host, in a deployment whose hosts find each other by
+//! seeds: orders of operators, announcements of databases, leases of entry
+//! hosts and changes of primary.
 
 mod control_event;
 mod control_host_state;
--- a/crates/decisions/src/control_role/order_flow.rs
+++ b/crates/decisions/src/control_role/order_flow.rs
@@ -12,16 +12,16 @@
 }
 
 impl ControlHost {
-    pub(super) fn ordered(&mut self, now: Moment, ticket: u64, order: OperatorOrder) {
+    pub(super) fn handle_order(&mut self, now: Moment, ticket: u64, order: OperatorOrder) {
         if !self.agreement.is_leader() {
             let answer = match self.agreement.leader() {
                 Some(leader) => OrderAnswer::NotLeader(leader),
                 None => OrderAnswer::Unavailable,
             };
-            return self.answer(ticket, answer);
+            return self.send_answer(ticket, answer);
         }
         if !self.is_current_leader(now) {
-            return self.answer(ticket, OrderAnswer::Unavailable);
+            return self.send_answer(ticket, OrderAnswer::Unavailable);
         }
         match order {
             OperatorOrder::ReadRoutes => {
@@ -29,7 +29,7 @@
                     Some(table) => OrderAnswer::Routes(table.clone()),
                     None => OrderAnswer::NoRoutes,
                 };
-                self.answer(ticket, answer);
+                self.send_answer(ticket, answer);
             }
             OperatorOrder::ReplaceRoutes { table, at_unix_ms } => {
                 self.replace_routes(now, ticket, table, at_unix_ms);
@@ -46,20 +46,20 @@
     ) {
         let version = self.control.routes_version();
         if self.control.routes.is_some() && table.version <= version {
-            return self.answer(ticket, OrderAnswer::Accepted { version });
+            return self.send_answer(ticket, OrderAnswer::Accepted { version });
         }
-        // A repeat waits for the first one's entry.
+        // A repeated order waits for the log entry of the first one.
         if let Some(index) = self.orders.iter().find(|o| o.table == table).map(|o| o.index) {
             self.orders.push(PendingOrder { ticket, index, table });
             return;
         }
         let command = ControlCommand::RoutesReplaced { table: table.clone(), at_unix_ms };
-        // The entry can be committed while it is proposed, so the order is
-        // noted with the index that it will get.
+        // The entry can be committed before `propose` returns, so the order is
+        // stored first, with the index that the entry will get.
         let index = self.agreement.log().last_index() + 1;
         self.orders.push(PendingOrder { ticket, index, table });
         if self.propose(now, command) != Some(index) {
-            self.refuse_orders();
+            self.fail_pending_orders();
         }
     }
 
@@ -71,18 +71,19 @@
         self.orders = waiting;
         let done: Vec<PendingOrder> = done;
         for order in done {
-            self.answer(order.ticket, OrderAnswer::Accepted { version });
+            self.send_answer(order.ticket, OrderAnswer::Accepted { version });
         }
     }
 
-    /// Leaves orders without a clear answer: they may or may not be in force.
-    pub(super) fn refuse_orders(&mut self) {
+    /// Answers all pending orders as unavailable: their commands may or may not
+    /// be committed later.
+    pub(super) fn fail_pending_orders(&mut self) {
         for order in std::mem::take(&mut self.orders) {
-            self.answer(order.ticket, OrderAnswer::Unavailable);
+            self.send_answer(order.ticket, OrderAnswer::Unavailable);
         }
     }
 
-    fn answer(&mut self, ticket: u64, answer: OrderAnswer) {
+    fn send_answer(&mut self, ticket: u64, answer: OrderAnswer) {
         self.effects.push(ControlEffect::Answer(ticket, answer));
     }
 }
--- a/crates/decisions/src/control_role/term_flow.rs
+++ b/crates/decisions/src/control_role/term_flow.rs
@@ -14,56 +14,57 @@
 };
 
 /// Time for which the same command is not proposed again.
-const PROPOSAL_QUIET: Duration = Duration::from_millis(500);
-/// Time between two looks at what changes slowly.
-const SURVEY_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Time after which a primary must call itself one: an announcement is sent at
-/// once when the role changes, and may be lost once.
-const ROLE_SETTLING: Duration = Duration::from_secs(3);
+const PROPOSAL_DEDUP_WINDOW: Duration = Duration::from_millis(500);
+/// Time between two checks for silent databases and silent entry hosts.
+const PERIODIC_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Time after which a new primary must have announced its role: a database
+/// announces a changed role at once, and one announcement may be lost.
+const ROLE_CHANGE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl ControlHost {
-    /// The leader's work after anything changed.
-    pub(super) fn lead(&mut self, now: Moment) {
+    /// Runs the leader tasks; does nothing on other hosts.
+    pub(super) fn run_leader_tasks(&mut self, now: Moment) {
         if !self.is_current_leader(now) {
             return;
         }
-        self.note_steady(now);
-        self.survey(now);
-        for command in self.wanted_commands(now) {
+        self.record_steady_terms(now);
+        self.run_periodic_checks(now);
+        for command in self.collect_commands(now) {
             self.propose_once(now, command);
         }
-        self.drive_changes(now);
+        self.advance_primary_changes(now);
     }
 
-    /// Proposes a command unless the same was proposed a moment ago.
+    /// Proposes a command unless the same one was proposed within
+    /// `PROPOSAL_DEDUP_WINDOW`.
     pub(super) fn propose_once(&mut self, now: Moment, command: ControlCommand) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.proposed.retain(|(_, until)| *until > now);
-        if leader_state.proposed.iter().any(|(proposed, _)| *proposed == command) {
+        leader_state.recent_proposals.retain(|(_, until)| *until > now);
+        if leader_state.recent_proposals.iter().any(|(proposed, _)| *proposed == command) {
             return;
         }
-        leader_state.proposed.push((command.clone(), now + PROPOSAL_QUIET));
+        leader_state.recent_proposals.push((command.clone(), now + PROPOSAL_DEDUP_WINDOW));
         self.propose(now, command);
     }
 
-    fn survey(&mut self, now: Moment) {
+    fn run_periodic_checks(&mut self, now: Moment) {
         let Some(leader_state) =
-            self.leader_state.as_mut().filter(|leader_state| now >= leader_state.survey_due)
+            self.leader_state.as_mut().filter(|leader_state| now >= leader_state.next_check_at)
         else {
             return;
         };
-        leader_state.survey_due = now + SURVEY_INTERVAL;
-        let since = leader_state.since;
-        if now.since(since) > self.settings.announcement_lifetime {
-            self.expire_instances(now);
+        leader_state.next_check_at = now + PERIODIC_CHECK_INTERVAL;
+        let elected_at = leader_state.elected_at;
+        if now.since(elected_at) > self.settings.announcement_lifetime {
+            self.expire_silent_instances(now);
         }
-        self.forget_holders(now);
+        self.remove_silent_holders(now);
     }
 
-    /// Remembers when this leader first saw each term steady.
-    fn note_steady(&mut self, now: Moment) {
+    /// Records when this leader first saw each term in the steady phase.
+    fn record_steady_terms(&mut self, now: Moment) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -75,57 +76,58 @@
         }
     }
 
-    fn wanted_commands(&self, now: Moment) -> Vec<ControlCommand> {
-        let mut wanted = Vec::new();
+    fn collect_commands(&self, now: Moment) -> Vec<ControlCommand> {
+        let mut commands = Vec::new();
         for record in self.directory.records() {
             let term = self.control.terms.get(&record.service);
             if is_unknown_primary(record, term) {
-                wanted.push(ControlCommand::ServicePrimaryKnown {
+                commands.push(ControlCommand::ServicePrimaryKnown {
                     service: record.service.clone(),
                     primary: record.key.clone(),
                 });
             }
             let known = self.control.instances.get(&record.key.id);
             if known.is_none_or(|known| !known.equals_ignoring_sequence(record)) {
-                wanted.push(ControlCommand::InstanceSeen(record.clone()));
+                commands.push(ControlCommand::InstanceSeen(record.clone()));
             }
         }
         for record in self.control.instances.values() {
             if self.directory.has_departed(&record.key) {
-                wanted.push(ControlCommand::InstanceGone(InstanceDeparture {
+                commands.push(ControlCommand::InstanceGone(InstanceDeparture {
                     id: record.key.id.clone(),
                     born_ms: Some(record.key.born_ms),
                 }));
             }
         }
         for term in self.control.terms.values() {
-            if let Some(planned) = self.reason_to_end(now, term) {
-                wanted.push(ControlCommand::ServiceTermEnded {
+            if let Some(planned) = self.check_term_end(now, term) {
+                commands.push(ControlCommand::ServiceTermEnded {
                     service: term.service.clone(),
                     number: term.number,
                     planned,
                 });
             }
         }
-        wanted
+        commands
     }
 
-    /// Whether the term should end, and whether the change is planned.
-    fn reason_to_end(&self, now: Moment, term: &ServiceTerm) -> Option<bool> {
+    /// Returns whether the change is planned if the term should end, else
+    /// `None`.
+    fn check_term_end(&self, now: Moment, term: &ServiceTerm) -> Option<bool> {
         let leader_state = self.leader_state.as_ref()?;
         let steady_since = match leader_state.steady_since.get(&term.service) {
             Some((number, since)) if *number == term.number => *since,
             _ => now,
         };
-        let has_other = self
+        let has_successor = self
             .directory
             .instances_of_service(&term.service)
             .any(|record| record.key.id != term.primary.id && !record.draining);
         let polled =
             leader_state.polls.get(&term.service).filter(|(number, _)| *number == term.number);
-        let suspected =
-            polled.is_some_and(|(_, poll)| poll.is_confirmed(now, &self.serving_hosts(now)));
-        if !has_other {
+        let suspected = polled
+            .is_some_and(|(_, poll)| poll.is_confirmed(now, &self.hosts_with_live_lease(now)));
+        if !has_successor {
             return None;
         }
         match &term.phase {
@@ -138,7 +140,7 @@
                         .directory
                         .time_since_announcement(now, &record.key.id)
                         .unwrap_or_default();
-                    (now.since(steady_since) > ROLE_SETTLING + silence).then_some(false)
+                    (now.since(steady_since) > ROLE_CHANGE_TIMEOUT + silence).then_some(false)
                 }
                 Some(_) => None,
                 None if self.directory.has_departed(&term.primary) => Some(false),
@@ -151,7 +153,7 @@
         }
     }
 
-    fn serving_hosts(&self, now: Moment) -> BTreeSet<HostId> {
+    fn hosts_with_live_lease(&self, now: Moment) -> BTreeSet<HostId> {
         let Some(leader_state) = &self.leader_state else {
             return BTreeSet::new();
         };
@@ -159,9 +161,10 @@
         holders.filter(|host| leader_state.leases.has_live_lease(now, *host)).collect()
     }
 
-    fn drive_changes(&mut self, now: Moment) {
+    fn advance_primary_changes(&mut self, now: Moment) {
         if self.control.terms.values().all(ServiceTerm::is_steady) {
-            // At rest, as nearly always; this runs at every heartbeat.
+            // The usual case, handled first because this runs at every
+            // heartbeat.
             self.leader_state.iter_mut().for_each(|leader_state| leader_state.changes.clear());
             return;
         }
@@ -169,24 +172,24 @@
             return;
         };
         let applied: BTreeMap<HostId, u64> =
-            self.entries.iter().map(|(host, entry)| (*host, entry.applied)).collect();
+            self.entry_hosts.iter().map(|(host, entry)| (*host, entry.applied)).collect();
         let view = HolderView {
             holders: &self.control.holders,
             leases: &leader_state.leases,
             applied: &applied,
         };
         let mut steps = Vec::new();
-        let moving = self.control.terms.values().filter(|term| !term.is_steady());
+        let changing_terms = self.control.terms.values().filter(|term| !term.is_steady());
         let mut changes = BTreeMap::new();
-        for term in moving {
+        for term in changing_terms {
             let mut change = match leader_state.changes.remove(&term.service) {
                 Some(change) if change.matches_phase(term) => change,
                 Some(change) => change.next_phase(now, term),
                 None => TermChange::new(now, term),
             };
             let routes = self.control.routes.as_ref();
-            let rule = routes.and_then(|table| table.service(&term.service));
-            let sync_replicas = rule.map_or(0, |rule| rule.sync_replicas);
+            let service_rule = routes.and_then(|table| table.service(&term.service));
+            let sync_replicas = service_rule.map_or(0, |rule| rule.sync_replicas);
             let next = change.next_steps(now, term, &self.directory, view, sync_replicas);
             steps.extend(next.into_iter().map(|step| (term.clone(), step)));
             changes.insert(term.service.clone(), change);
@@ -194,11 +197,11 @@
         leader_state.changes = changes;
         self.leader_state = Some(leader_state);
         for (term, step) in steps {
-            self.take_step(now, &term, step);
+            self.execute_step(now, &term, step);
         }
     }
 
-    fn take_step(&mut self, now: Moment, term: &ServiceTerm, step: TermStep) {
+    fn execute_step(&mut self, now: Moment, term: &ServiceTerm, step: TermStep) {
         let (service, number) = (term.service.clone(), term.number);
         match step {
             TermStep::AskStatus(key) => {
@@ -226,7 +229,7 @@
         }
     }
 
-    pub(super) fn status_answered(
+    pub(super) fn handle_status_answer(
         &mut self,
         now: Moment,
         key: InstanceKey,
@@ -237,11 +240,11 @@
             service.and_then(|service| self.leader_state.as_mut()?.changes.get_mut(&service));
         if let (Some(change), Some(status)) = (change, status) {
             change.record_status(key, status);
-            self.lead(now);
+            self.run_leader_tasks(now);
         }
     }
 
-    pub(super) fn promote_answered(
+    pub(super) fn handle_promote_answer(
         &mut self,
         now: Moment,
         service: &Arc<str>,
@@ -253,14 +256,14 @@
             .as_mut()
             .and_then(|leader_state| leader_state.changes.get_mut(service));
         if let (Some(change), PromoteResult::NotRunning) = (change, result) {
-            change.record_refusal(key);
-            self.lead(now);
+            change.exclude_candidate(key);
+            self.run_leader_tasks(now);
         }
     }
 }
 
-/// True if the database leads a service without a known primary, or is the
-/// known one after a new start.
+/// True if the database is primary of a service without a known primary, or is
+/// the known primary after a restart.
 fn is_unknown_primary(record: &InstanceRecord, term: Option<&ServiceTerm>) -> bool {
     if record.role != InstanceRole::Primary {
         return false;
--- a/crates/decisions/src/primaries/mod.rs
+++ b/crates/decisions/src/primaries/mod.rs
@@ -1,4 +1,4 @@
-//! Which database of a service is its primary, and how it is replaced.
+//! The primary database of each service, and changes of primary.
 
 mod service_term;
 mod suspicion_poll;
--- a/crates/decisions/src/primaries/service_term.rs
+++ b/crates/decisions/src/primaries/service_term.rs
@@ -4,36 +4,36 @@
 
 use crate::instances::InstanceKey;
 
-/// Where a service stands between two primaries.
+/// Phase of a service's term.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TermPhase {
-    /// The primary serves.
+    /// The primary serves requests.
     Steady,
-    /// No host may use the primary; a successor is looked for.
+    /// No host may use the primary; a successor is being selected.
     Fencing {
-        /// The change was asked for: the primary is reachable.
+        /// True if the change was requested: the primary is reachable.
         planned: bool,
     },
-    /// The successor was chosen and is told to lead.
+    /// The successor is chosen and is being promoted.
     Promoting {
         /// The successor.
         chosen: InstanceKey,
     },
 }
 
-/// The committed primary of a service. The number is control's own count of
-/// changes, not the database's.
+/// Committed primary of a service. The control hosts count its terms
+/// themselves, independently of the terms that databases count.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTerm {
     /// The service.
     pub service: Arc<str>,
-    /// Counts the changes of primary.
+    /// Number of the term, which grows with each change of primary.
     pub number: u64,
-    /// Index of control's log at which the present phase began.
+    /// Index of the control log at which the current phase began.
     pub since_index: u64,
     /// The primary of this term.
     pub primary: InstanceKey,
-    /// Where the term stands.
+    /// Current phase of the term.
     pub phase: TermPhase,
 }
 
@@ -43,7 +43,7 @@
         self.phase == TermPhase::Steady
     }
 
-    /// True if answers of requests sent in this term may still be given.
+    /// True if answers to requests sent in term `number` may still be returned.
     pub fn accepts_answers(&self, number: u64) -> bool {
         let serving =
             matches!(self.phase, TermPhase::Steady | TermPhase::Fencing { planned: true });
--- a/crates/decisions/src/primaries/suspicion_poll.rs
+++ b/crates/decisions/src/primaries/suspicion_poll.rs
@@ -5,45 +5,47 @@
 
 use crate::{clock::Moment, identity::HostId};
 
-/// Time for which a host's word on a primary counts: twice the time a host
-/// takes to probe it.
-const OPINION_LIFETIME: Duration = Duration::from_millis(2_000);
-/// Time between two questions to all hosts about one primary.
+/// Time for which a host's report on a primary is valid: twice the time that a
+/// host takes to probe it.
+const REPORT_LIFETIME: Duration = Duration::from_millis(2_000);
+/// Shortest time between two polls of all hosts about one primary.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What hosts say of one primary.
+/// Reports of hosts on whether they can reach one primary.
 #[derive(Debug, Default)]
 pub struct SuspicionPoll {
-    opinions: BTreeMap<HostId, (Moment, bool)>,
+    reports: BTreeMap<HostId, (Moment, bool)>,
     polled_at: Option<Moment>,
 }
 
 impl SuspicionPoll {
-    /// Notes whether a host can reach the primary.
+    /// Records whether a host can reach the primary.
     pub fn record(&mut self, now: Moment, host: HostId, reachable: bool) {
-        self.opinions.insert(host, (now, reachable));
+        self.reports.insert(host, (now, reachable));
     }
 
-    /// True if the other hosts should be asked; notes that they are.
-    pub fn should_ask(&mut self, now: Moment) -> bool {
+    /// Starts a poll of all hosts if a host suspects the primary and the poll
+    /// interval has passed; true if it starts one.
+    pub fn start_poll_if_due(&mut self, now: Moment) -> bool {
         let due = self.polled_at.is_none_or(|at| now.since(at) >= POLL_INTERVAL);
-        if due && self.suspecting(now).next().is_some() {
+        if due && self.suspecting_hosts(now).next().is_some() {
             self.polled_at = Some(now);
             return true;
         }
         false
     }
 
-    /// True if more than half of the hosts that serve cannot reach it.
+    /// True if more than half of the serving hosts cannot reach the primary.
     pub fn is_confirmed(&self, now: Moment, serving: &BTreeSet<HostId>) -> bool {
-        let suspecting = self.suspecting(now).filter(|host| serving.contains(host)).count();
-        suspecting > 0 && suspecting * 2 > serving.len()
+        let suspecting_count =
+            self.suspecting_hosts(now).filter(|host| serving.contains(host)).count();
+        suspecting_count > 0 && suspecting_count * 2 > serving.len()
     }
 
-    fn suspecting(&self, now: Moment) -> impl Iterator<Item = HostId> + '_ {
-        self.opinions
+    fn suspecting_hosts(&self, now: Moment) -> impl Iterator<Item = HostId> + '_ {
+        self.reports
             .iter()
-            .filter(move |(_, (at, reachable))| !reachable && now.since(*at) < OPINION_LIFETIME)
+            .filter(move |(_, (at, reachable))| !reachable && now.since(*at) < REPORT_LIFETIME)
             .map(|(host, _)| *host)
     }
 }
--- a/crates/decisions/src/primaries/term_change.rs
+++ b/crates/decisions/src/primaries/term_change.rs
@@ -12,112 +12,115 @@
     positions::LogPosition,
 };
 
-/// Time for the replicas to say how far they are before the furthest of those
-/// that answered is taken.
-const STATUS_WAIT: Duration = Duration::from_millis(250);
-/// Time between two questions to one database.
-const STATUS_RETRY: Duration = Duration::from_millis(60);
-/// Longest wait of a planned change for a replica to hold all that the old
+/// Time for replicas to report their positions before the furthest of those
+/// that answered is chosen.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time between two status requests to one database.
+const STATUS_RETRY_INTERVAL: Duration = Duration::from_millis(60);
+/// Longest wait of a planned change for a replica to receive all that the old
 /// primary has.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time without a successor after which the old primary may lead again.
-const RETURN_WAIT: Duration = Duration::from_millis(1_000);
+/// Time without a successor after which the old primary may be chosen again.
+const OLD_PRIMARY_EXCLUSION: Duration = Duration::from_millis(1_000);
 /// Time between two calls that promote the same database.
-const PROMOTE_RETRY: Duration = Duration::from_millis(700);
-/// Time after which another database is chosen.
+const PROMOTE_RETRY_INTERVAL: Duration = Duration::from_millis(700);
+/// Time after which another database is chosen if this one has not become
+/// primary.
 const PROMOTION_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// What a database says of its log.
+/// Role and log position as reported by a database.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstanceStatus {
-    /// How it sees itself.
+    /// Role in the database's own view.
     pub role: InstanceRole,
-    /// Its own count of primaries.
+    /// Number of primaries as counted by the database.
     pub term: u64,
-    /// Last entry that it received.
+    /// Position of the last log entry that it received.
     pub received: LogPosition,
 }
 
-/// What the leader does next for a change of primary.
+/// Next step of the leader in a change of primary.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TermStep {
     /// Ask a database for its status.
     AskStatus(InstanceKey),
-    /// Commit the successor.
+    /// Commit this database as the successor.
     Choose(InstanceKey),
-    /// Tell the platform that this database leads.
+    /// Ask the platform to promote this database.
     Promote(InstanceKey),
-    /// Commit that the successor leads.
+    /// Commit the start of the successor's term.
     Start,
-    /// The successor did not lead in time: look for another one.
+    /// Select another successor: this one is not running or did not become
+    /// primary in time.
     Restart,
 }
 
-/// The leader's state of one change of primary; a new leader gathers it again.
+/// Leader state of one change of primary; a new leader collects it again.
 #[derive(Debug)]
 pub struct TermChange {
     since_index: u64,
     started_at: Moment,
-    clear_at: Option<Moment>,
+    fenced_at: Option<Moment>,
     statuses: BTreeMap<InstanceKey, InstanceStatus>,
     asked_at: BTreeMap<InstanceKey, Moment>,
     promoted_at: Option<Moment>,
-    refused: BTreeSet<InstanceKey>,
+    excluded: BTreeSet<InstanceKey>,
     proposed: bool,
 }
 
-/// What the leader knows of the hosts that may use the old primary.
+/// State of the hosts that may use the old primary, as known to the leader.
 #[derive(Debug, Clone, Copy)]
 pub struct HolderView<'a> {
     /// Hosts that may hold a lease.
     pub holders: &'a BTreeSet<HostId>,
-    /// When their leases run out.
+    /// Expiry times of their leases.
     pub leases: &'a LeaseTable,
-    /// What each host applied.
+    /// Index of the control log that each host has applied.
     pub applied: &'a BTreeMap<HostId, u64>,
 }
 
 impl TermChange {
-    /// State for a change that this leader begins to drive.
+    /// Creates the state for a change that this leader starts to handle.
     pub fn new(now: Moment, term: &ServiceTerm) -> Self {
         Self {
             since_index: term.since_index,
             started_at: now,
-            clear_at: None,
+            fenced_at: None,
             statuses: BTreeMap::new(),
             asked_at: BTreeMap::new(),
             promoted_at: None,
-            refused: BTreeSet::new(),
+            excluded: BTreeSet::new(),
             proposed: false,
         }
     }
 
-    /// True if this state belongs to the term's present phase.
+    /// True if this state belongs to the term's current phase.
     pub fn matches_phase(&self, term: &ServiceTerm) -> bool {
         self.since_index == term.since_index
     }
 
-    /// State for the next phase, which keeps the databases that refused.
+    /// Creates the state for the next phase; databases that were excluded stay
+    /// so.
     pub fn next_phase(&self, now: Moment, term: &ServiceTerm) -> Self {
-        Self { refused: self.refused.clone(), ..Self::new(now, term) }
+        Self { excluded: self.excluded.clone(), ..Self::new(now, term) }
     }
 
-    /// A database answered a question.
+    /// Records the answer to a status request.
     pub fn record_status(&mut self, key: InstanceKey, status: InstanceStatus) {
         self.statuses.insert(key, status);
     }
 
-    /// The platform says that the database does not run.
-    pub fn record_refusal(&mut self, key: InstanceKey) {
-        self.refused.insert(key);
+    /// Excludes a database that the platform reports as not running.
+    pub fn exclude_candidate(&mut self, key: InstanceKey) {
+        self.excluded.insert(key);
     }
 
-    /// When a step may be due without further events.
+    /// Time at which a step may be due without further events.
     pub fn next_due(&self, now: Moment) -> Moment {
-        now + STATUS_RETRY
+        now + STATUS_RETRY_INTERVAL
     }
 
-    /// What to do now.
+    /// Returns the steps that are due now, none once a command was proposed.
     pub fn next_steps(
         &mut self,
         now: Moment,
@@ -132,33 +135,33 @@
         match &term.phase {
             TermPhase::Steady => Vec::new(),
             TermPhase::Fencing { planned } => {
-                if !self.is_clear(now, view) {
+                if !self.check_fenced(now, view) {
                     return Vec::new();
                 }
-                self.look_for_successor(now, term, directory, *planned, sync_replicas)
+                self.select_successor(now, term, directory, *planned, sync_replicas)
             }
-            TermPhase::Promoting { chosen } => self.promote(now, chosen, directory),
+            TermPhase::Promoting { chosen } => self.plan_promotion(now, chosen, directory),
         }
     }
 
     /// True once no host can use the old primary: each has applied the end of
-    /// the term, or its lease from before has run out.
-    fn is_clear(&mut self, now: Moment, view: HolderView<'_>) -> bool {
-        if self.clear_at.is_some() {
+    /// the term, or its earlier lease has expired.
+    fn check_fenced(&mut self, now: Moment, view: HolderView<'_>) -> bool {
+        if self.fenced_at.is_some() {
             return true;
         }
-        let clear = view.holders.iter().all(|host| {
+        let fenced = view.holders.iter().all(|host| {
             let applied = view.applied.get(host).copied().unwrap_or(0);
             applied >= self.since_index || now >= view.leases.expires_at(*host)
         });
-        if clear {
-            self.clear_at = Some(now);
+        if fenced {
+            self.fenced_at = Some(now);
             self.statuses.clear();
         }
-        clear
+        fenced
     }
 
-    fn look_for_successor(
+    fn select_successor(
         &mut self,
         now: Moment,
         term: &ServiceTerm,
@@ -166,49 +169,51 @@
         planned: bool,
         sync_replicas: u32,
     ) -> Vec<TermStep> {
-        let waited = now.since(self.clear_at.unwrap_or(now));
-        let may_return = !planned && waited >= RETURN_WAIT;
+        let waited = now.since(self.fenced_at.unwrap_or(now));
+        let old_primary_allowed = !planned && waited >= OLD_PRIMARY_EXCLUSION;
         let candidates: Vec<&InstanceRecord> = directory
             .instances_of_service(&term.service)
-            .filter(|record| may_return || record.key.id != term.primary.id)
+            .filter(|record| old_primary_allowed || record.key.id != term.primary.id)
             .collect();
-        let goal = match planned && waited < CATCH_UP_TIMEOUT {
+        let required_position = match planned && waited < CATCH_UP_TIMEOUT {
             true => self.statuses.get(&term.primary).map(|status| status.received),
             false => None,
         };
-        let waits_for_goal = planned && waited < CATCH_UP_TIMEOUT;
-        let answered = candidates.iter().filter(|r| self.statuses.contains_key(&r.key)).count();
-        let all_answered = answered == candidates.len();
-        // An acknowledged commit is on `sync_replicas` databases at least, so
-        // one of any set that misses fewer than that holds it.
-        let enough = candidates.len() - answered < sync_replicas.max(1) as usize;
-        let ready = match (waits_for_goal, goal) {
+        let awaits_catch_up = planned && waited < CATCH_UP_TIMEOUT;
+        let answer_count = candidates.iter().filter(|r| self.statuses.contains_key(&r.key)).count();
+        let all_answered = answer_count == candidates.len();
+        // An acknowledged commit is on at least `sync_replicas` databases. If
+        // fewer candidates than that have not answered, at least one that has
+        // answered holds the commit.
+        let has_enough_answers = candidates.len() - answer_count < sync_replicas.max(1) as usize;
+        let ready = match (awaits_catch_up, required_position) {
             (true, None) => false,
-            (true, Some(goal)) => {
-                self.best(term, &candidates).is_some_and(|(_, s)| s.received >= goal)
-            }
-            (false, _) if sync_replicas > 0 => enough,
-            (false, _) => all_answered || waited >= STATUS_WAIT,
+            (true, Some(required_position)) => self
+                .best_candidate(term, &candidates)
+                .is_some_and(|(_, s)| s.received >= required_position),
+            (false, _) if sync_replicas > 0 => has_enough_answers,
+            (false, _) => all_answered || waited >= STATUS_TIMEOUT,
         };
-        if ready && let Some((key, _)) = self.best(term, &candidates) {
+        if ready && let Some((key, _)) = self.best_candidate(term, &candidates) {
             self.proposed = true;
             return vec![TermStep::Choose(key)];
         }
-        let asked_primary = planned.then(|| term.primary.clone());
+        let old_primary = planned.then(|| term.primary.clone());
         let keys: Vec<InstanceKey> =
-            candidates.iter().map(|r| r.key.clone()).chain(asked_primary).collect();
-        keys.into_iter().filter_map(|key| self.ask(now, key)).collect()
+            candidates.iter().map(|r| r.key.clone()).chain(old_primary).collect();
+        keys.into_iter().filter_map(|key| self.request_status(now, key)).collect()
     }
 
-    /// The furthest replica that stays.
-    fn best(
+    /// Returns the preferred candidate: not the old primary and not draining if
+    /// possible, then the furthest log position.
+    fn best_candidate(
         &self,
         term: &ServiceTerm,
         candidates: &[&InstanceRecord],
     ) -> Option<(InstanceKey, InstanceStatus)> {
         candidates
             .iter()
-            .filter(|record| !self.refused.contains(&record.key))
+            .filter(|record| !self.excluded.contains(&record.key))
             .filter_map(|record| Some((*record, *self.statuses.get(&record.key)?)))
             .max_by_key(|(record, status)| {
                 (record.key.id != term.primary.id, !record.draining, status.received)
@@ -216,41 +221,42 @@
             .map(|(record, status)| (record.key.clone(), status))
     }
 
-    fn ask(&mut self, now: Moment, key: InstanceKey) -> Option<TermStep> {
-        let asked = self.asked_at.get(&key);
-        if asked.is_some_and(|at| now.since(*at) < STATUS_RETRY) {
+    fn request_status(&mut self, now: Moment, key: InstanceKey) -> Option<TermStep> {
+        let asked_at = self.asked_at.get(&key);
+        if asked_at.is_some_and(|at| now.since(*at) < STATUS_RETRY_INTERVAL) {
             return None;
         }
         self.asked_at.insert(key.clone(), now);
         Some(TermStep::AskStatus(key))
     }
 
-    fn promote(
+    fn plan_promotion(
         &mut self,
         now: Moment,
         chosen: &InstanceKey,
         directory: &InstanceDirectory,
     ) -> Vec<TermStep> {
         let record = directory.get(&chosen.id);
-        let says_so = record.is_some_and(|r| r.role == InstanceRole::Primary && r.key == *chosen);
-        let answers_so =
+        let announced_primary =
+            record.is_some_and(|r| r.role == InstanceRole::Primary && r.key == *chosen);
+        let reported_primary =
             self.statuses.get(chosen).is_some_and(|status| status.role == InstanceRole::Primary);
-        if says_so || answers_so {
+        if announced_primary || reported_primary {
             self.proposed = true;
             return vec![TermStep::Start];
         }
-        let late = now.since(self.started_at) >= PROMOTION_TIMEOUT;
-        if late || self.refused.contains(chosen) {
+        let timed_out = now.since(self.started_at) >= PROMOTION_TIMEOUT;
+        if timed_out || self.excluded.contains(chosen) {
             self.proposed = true;
             return vec![TermStep::Restart];
         }
         let mut steps = Vec::new();
-        if self.promoted_at.is_none_or(|at| now.since(at) >= PROMOTE_RETRY) {
+        if self.promoted_at.is_none_or(|at| now.since(at) >= PROMOTE_RETRY_INTERVAL) {
             self.promoted_at = Some(now);
             steps.push(TermStep::Promote(chosen.clone()));
         }
-        let asked = self.asked_at.get(chosen).copied().unwrap_or(self.started_at);
-        if now.since(asked) >= 3 * STATUS_RETRY {
+        let asked_at = self.asked_at.get(chosen).copied().unwrap_or(self.started_at);
+        if now.since(asked_at) >= 3 * STATUS_RETRY_INTERVAL {
             self.asked_at.insert(chosen.clone(), now);
             steps.push(TermStep::AskStatus(chosen.clone()));
         }
