--- a/crates/decisions/tests/control_faults.rs
+++ b/crates/decisions/tests/control_faults.rs
@@ -1,6 +1,7 @@
-//! Control hosts under seeded series of faults that overlap: kills, freezes,
-//! one-way cuts, slow and stalling disks, and one lost disk at a time. What was
-//! acknowledged stays, reads are never older than that, and no two hosts lead.
+//! Control hosts under overlapping faults from seeded schedules: kills,
+//! freezes, one-way cuts, slow and stalling disks, and one lost disk at a time.
+//! Acknowledged configurations must survive, reads must not return older ones,
+//! and no two hosts may lead at the same time.
 
 mod control_world;
 
@@ -15,24 +16,23 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Schedules that are run, unless `HAWTHORNSTACK_SCHEDULES` says otherwise.
+/// Number of schedules, unless `HAWTHORNSTACK_SCHEDULES` sets another one.
 const SCHEDULES: u64 = 150;
-/// Faults and orders in one schedule.
+/// Number of faults and orders in one schedule.
 const ACTIONS: u32 = 60;
-/// Time that a replaced or restarted host takes to count again, as the users'
-/// bound for catching up.
-const CATCH_UP: Duration = Duration::from_secs(4);
+/// Time in which a replaced or restarted host catches up, as the users require.
+const CATCH_UP_TIME: Duration = Duration::from_secs(4);
 const HOSTS: u32 = 3;
-/// Usual time of a sync in `ControlWorld`.
+/// Default duration of a sync in `ControlWorld`.
 const SYNC_TIME: Duration = Duration::from_millis(1);
 
-/// Faults that end by themselves.
+/// End of a fault, scheduled when the fault begins.
 #[derive(Debug, Clone, Copy)]
 enum FaultEnd {
     Boot(HostId),
-    Thaw(HostId),
-    Join(HostId, HostId),
-    MendDisk(HostId),
+    Unfreeze(HostId),
+    Reconnect(HostId, HostId),
+    RestoreDisk(HostId),
 }
 
 struct FaultRun {
@@ -41,13 +41,13 @@
     world: ControlWorld,
     ends: BTreeMap<(Moment, u32), FaultEnd>,
     count: u32,
-    /// No disk may be lost before.
+    /// Time before which no disk may be wiped.
     wipe_after: Moment,
     version: u64,
     acknowledged: u64,
-    /// Orders without an answer yet, with their versions.
+    /// Versions of unanswered orders, by ticket.
     orders: BTreeMap<u64, u64>,
-    /// Reads without an answer yet, with what they must show.
+    /// Oldest versions that unanswered reads may return, by ticket.
     reads: BTreeMap<u64, u64>,
 }
 
@@ -73,39 +73,39 @@
         HostId(self.rng.random_range(1..=HOSTS))
     }
 
-    fn pick_time(&mut self, longest_ms: u64) -> Duration {
-        Duration::from_millis(self.rng.random_range(1..=longest_ms))
+    fn pick_time(&mut self, max_ms: u64) -> Duration {
+        Duration::from_millis(self.rng.random_range(1..=max_ms))
     }
 
-    fn end_later(&mut self, longest_ms: u64, end: FaultEnd) {
-        let at = self.world.now + self.pick_time(longest_ms);
+    fn schedule_end(&mut self, max_ms: u64, end: FaultEnd) {
+        let at = self.world.now + self.pick_time(max_ms);
         self.count += 1;
         self.ends.insert((at, self.count), end);
     }
 
-    fn act(&mut self) {
+    fn inject_action(&mut self) {
         let host = self.pick_host();
         let running = self.world.host(host).is_some();
         match self.rng.random_range(0..10) {
             0 if running => {
                 self.world.kill(host);
-                self.end_later(3_000, FaultEnd::Boot(host));
+                self.schedule_end(3_000, FaultEnd::Boot(host));
             }
             1 if running && self.may_wipe() => {
                 self.world.wipe(host);
-                self.wipe_after = self.world.now + 3 * CATCH_UP;
-                self.end_later(2_000, FaultEnd::Boot(host));
+                self.wipe_after = self.world.now + 3 * CATCH_UP_TIME;
+                self.schedule_end(2_000, FaultEnd::Boot(host));
             }
             2 if running => self.freeze(host),
             3 => {
                 let other = self.pick_host();
-                self.world.cut.insert((host, other));
-                self.end_later(3_000, FaultEnd::Join(host, other));
+                self.world.cut_links.insert((host, other));
+                self.schedule_end(3_000, FaultEnd::Reconnect(host, other));
             }
             4 => {
                 let sync_time = self.pick_time(1_500);
-                self.disk(host, sync_time);
-                self.end_later(3_000, FaultEnd::MendDisk(host));
+                self.set_sync_time(host, sync_time);
+                self.schedule_end(3_000, FaultEnd::RestoreDisk(host));
             }
             5 | 6 => {
                 let order = OperatorOrder::ReadRoutes;
@@ -123,7 +123,8 @@
         }
     }
 
-    /// One lost disk is borne while the others are whole and have caught up.
+    /// The loss of one disk is tolerated while all other hosts run without
+    /// faults and have caught up.
     fn may_wipe(&self) -> bool {
         self.world.now >= self.wipe_after
             && self.ends.is_empty()
@@ -134,34 +135,34 @@
         if let Some(host) = self.world.hosts.get_mut(&host) {
             host.frozen = true;
         }
-        self.end_later(3_000, FaultEnd::Thaw(host));
+        self.schedule_end(3_000, FaultEnd::Unfreeze(host));
     }
 
-    fn disk(&mut self, host: HostId, sync_time: Duration) {
+    fn set_sync_time(&mut self, host: HostId, sync_time: Duration) {
         if let Some(host) = self.world.hosts.get_mut(&host) {
             host.sync_time = sync_time;
         }
     }
 
-    fn end(&mut self, end: FaultEnd) {
+    fn end_fault(&mut self, end: FaultEnd) {
         match end {
             FaultEnd::Boot(host) if self.world.host(host).is_none() => {
                 self.world.boot(host, false);
-                // A host that has just started counts as lost for a while.
-                self.wipe_after = self.wipe_after.max(self.world.now + CATCH_UP);
+                // A host that has just started has not caught up yet.
+                self.wipe_after = self.wipe_after.max(self.world.now + CATCH_UP_TIME);
             }
             FaultEnd::Boot(_) => {}
-            FaultEnd::Thaw(host) => {
+            FaultEnd::Unfreeze(host) => {
                 if let Some(host) = self.world.hosts.get_mut(&host) {
                     host.frozen = false;
                 }
-                self.wipe_after = self.wipe_after.max(self.world.now + CATCH_UP);
+                self.wipe_after = self.wipe_after.max(self.world.now + CATCH_UP_TIME);
             }
-            FaultEnd::Join(from, to) => {
-                self.world.cut.remove(&(from, to));
-                self.wipe_after = self.wipe_after.max(self.world.now + CATCH_UP);
+            FaultEnd::Reconnect(from, to) => {
+                self.world.cut_links.remove(&(from, to));
+                self.wipe_after = self.wipe_after.max(self.world.now + CATCH_UP_TIME);
             }
-            FaultEnd::MendDisk(host) => self.disk(host, SYNC_TIME),
+            FaultEnd::RestoreDisk(host) => self.set_sync_time(host, SYNC_TIME),
         }
     }
 
@@ -175,13 +176,13 @@
                     self.ends.insert((at, self.count), end);
                     break;
                 }
-                self.end(end);
+                self.end_fault(end);
             }
-            self.check();
+            self.check_invariants();
         }
     }
 
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         let seed = self.seed;
         let now = self.world.now;
         let leaders: Vec<HostId> = self.world.leaders().collect();
@@ -205,12 +206,13 @@
         }
     }
 
-    /// Heals everything and reads back what was acknowledged.
+    /// Ends all faults, reads the configuration back and returns the newest
+    /// acknowledged version.
     fn finish(&mut self) -> u64 {
         while let Some((_, end)) = self.ends.pop_first() {
-            self.end(end);
+            self.end_fault(end);
         }
-        self.run(3 * CATCH_UP);
+        self.run(3 * CATCH_UP_TIME);
         let seed = self.seed;
         let leader = self.world.leader();
         let leader = leader.unwrap_or_else(|| panic!("seed {seed}: no leader after all is healed"));
@@ -223,19 +225,19 @@
 }
 
 #[test]
-fn acknowledged_configurations_outlive_overlapping_faults() {
-    let named = std::env::var("HAWTHORNSTACK_SCHEDULES").ok();
-    let schedules = named.and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES);
+fn acknowledged_configurations_survive_overlapping_faults() {
+    let configured = std::env::var("HAWTHORNSTACK_SCHEDULES").ok();
+    let schedules = configured.and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES);
     let mut acknowledged = 0;
     for seed in 0..schedules {
         let mut faults = FaultRun::new(seed);
         for _ in 0..ACTIONS {
-            faults.act();
+            faults.inject_action();
             let pause = faults.pick_time(400);
             faults.run(pause);
         }
         acknowledged += u64::from(faults.finish() > 0);
     }
-    // Schedules in which nothing is acknowledged show nothing.
+    // A schedule in which nothing is acknowledged tests nothing.
     assert!(acknowledged * 10 > schedules * 9, "{acknowledged} of {schedules}");
 }
--- a/crates/decisions/tests/control_restart.rs
+++ b/crates/decisions/tests/control_restart.rs
@@ -1,5 +1,5 @@
-//! Control hosts that start again: at once if nobody can lead, and never before
-//! the lease of a leader that may still lead.
+//! Restarted control hosts elect a leader at once if no leader can exist, and
+//! never before the lease of a possible leader has expired.
 
 mod control_world;
 
@@ -13,7 +13,7 @@
 /// The election timeout of `ControlWorld`.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
 
-fn settled_world(hosts: u32) -> (ControlWorld, HostId) {
+fn world_with_leader(hosts: u32) -> (ControlWorld, HostId) {
     let mut world = ControlWorld::start(hosts);
     world.run(3 * SECOND);
     assert!(world.replace(5, SECOND));
@@ -22,9 +22,9 @@
 }
 
 #[test]
-fn leader_is_found_at_once_after_all_were_lost() {
+fn leader_is_elected_at_once_after_all_hosts_restart() {
     for hosts in [3, 5] {
-        let (mut world, _) = settled_world(hosts);
+        let (mut world, _) = world_with_leader(hosts);
         for id in 1..=hosts {
             world.kill(HostId(id));
         }
@@ -40,9 +40,9 @@
 }
 
 #[test]
-fn host_without_its_disk_does_not_hold_the_others_up() {
+fn wiped_host_does_not_delay_the_election() {
     for wiped in 1..=3 {
-        let (mut world, _) = settled_world(3);
+        let (mut world, _) = world_with_leader(3);
         (1..=3).for_each(|id| world.kill(HostId(id)));
         world.wipe(HostId(wiped));
         world.run(SECOND);
@@ -53,8 +53,8 @@
 }
 
 #[test]
-fn hosts_that_start_one_after_the_other_find_a_leader() {
-    let (mut world, _) = settled_world(3);
+fn hosts_restarted_one_by_one_elect_a_leader() {
+    let (mut world, _) = world_with_leader(3);
     for id in 1..=3 {
         world.kill(HostId(id));
     }
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn restarted_host_follows_the_leader_that_stayed() {
+fn restarted_host_follows_the_running_leader() {
     for other in 1..=3 {
-        let (mut world, leader) = settled_world(3);
+        let (mut world, leader) = world_with_leader(3);
         if HostId(other) == leader {
             continue;
         }
@@ -81,11 +81,12 @@
     }
 }
 
-/// The leader reaches only the restarted host, which no longer reaches it: the
-/// third host asks for votes, and may get one only after the leader's lease.
+/// The leader is cut off from the candidate first, and from the other host when
+/// that restarts. The candidate asks the restarted host for its vote and may get
+/// it only after the leader's lease has expired.
 #[test]
-fn restarted_host_abstains_while_a_leader_may_count_on_it() {
-    let (mut world, leader) = settled_world(3);
+fn restarted_host_grants_no_vote_during_the_lease_of_a_leader() {
+    let (mut world, leader) = world_with_leader(3);
     let others: Vec<HostId> = (1..=3).map(HostId).filter(|id| *id != leader).collect();
     let (restarted, candidate) = (others[0], others[1]);
     world.isolate(leader, &[candidate], true);
@@ -107,10 +108,11 @@
     assert!(world.leader().is_some());
 }
 
-/// The same while the restarted host hears that the leader still leads.
+/// The same, but the restarted host still reaches the leader, which must stay
+/// the leader.
 #[test]
-fn restarted_host_believes_the_leader() {
-    let (mut world, leader) = settled_world(3);
+fn restarted_host_keeps_following_a_reachable_leader() {
+    let (mut world, leader) = world_with_leader(3);
     let others: Vec<HostId> = (1..=3).map(HostId).filter(|id| *id != leader).collect();
     world.isolate(leader, &[others[1]], true);
     world.run(2 * ELECTION_TIMEOUT);
--- a/crates/decisions/tests/control_world/mod.rs
+++ b/crates/decisions/tests/control_world/mod.rs
@@ -1,5 +1,6 @@
 //! Control hosts on a simulated clock and network: links with a delay, disks
-//! with a sync time, hosts that stop, freeze, lose disks or are cut off.
+//! with a sync time, and hosts that stop, freeze, lose their disks or are cut
+//! off.
 
 #![allow(dead_code, missing_docs)]
 
@@ -23,9 +24,9 @@
     routes::{RouteTable, ServiceRule, TrafficLimits},
 };
 
-/// One way between two hosts.
+/// One-way delay between two hosts.
 const LINK_DELAY: Duration = Duration::from_millis(1);
-/// Time of a sync.
+/// Default duration of a disk sync.
 const SYNC_TIME: Duration = Duration::from_millis(1);
 
 pub struct WorldHost {
@@ -33,7 +34,7 @@
     pub disk: Vec<JournalRecord>,
     pub frozen: bool,
     pub sync_time: Duration,
-    /// When the disk is done with what it was given: it syncs in order.
+    /// Time at which all syncs so far are done; the disk syncs in order.
     disk_free_at: Moment,
     boot: u64,
     unsynced: Vec<JournalRecord>,
@@ -41,21 +42,21 @@
     linked: BTreeSet<HostId>,
 }
 
-enum Happening {
-    Event { to: HostId, boot: u64, event: ControlEvent },
+enum SimulatedEvent {
+    Delivered { to: HostId, boot: u64, event: ControlEvent },
     Synced { host: HostId, boot: u64, number: u64, records: Vec<JournalRecord> },
 }
 
 pub struct ControlWorld {
     pub now: Moment,
     pub hosts: BTreeMap<HostId, WorldHost>,
-    pub cut: BTreeSet<(HostId, HostId)>,
+    pub cut_links: BTreeSet<(HostId, HostId)>,
     pub answers: BTreeMap<u64, OrderAnswer>,
     pub updates: Vec<(HostId, EntryUpdate)>,
     pub promoted: Vec<(Moment, HostId, InstanceKey, u64)>,
     pub instances: BTreeMap<Arc<str>, InstanceRecord>,
     seeds: BTreeSet<HostId>,
-    queue: BTreeMap<(Moment, u64), Happening>,
+    queue: BTreeMap<(Moment, u64), SimulatedEvent>,
     count: u64,
 }
 
@@ -66,7 +67,7 @@
         let mut world = Self {
             now: Moment::from_millis(1_000),
             hosts: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             answers: BTreeMap::new(),
             updates: Vec::new(),
             promoted: Vec::new(),
@@ -91,8 +92,8 @@
             heartbeat_interval: Duration::from_millis(125),
             lease_duration: Duration::from_millis(3_500),
             announcement_lifetime: Duration::from_secs(12),
-            // The decisions mix in the host's number; equal sums would make hosts
-            // draw the same election timeouts for ever.
+            // The agreement mixes the host's number into the seed; equal
+            // results would make hosts draw the same election timeouts forever.
             seed: (self.count + 1) * 1_000_003 + u64::from(id.0) * 8_191,
         };
         let known = self.hosts.remove(&id);
@@ -113,7 +114,7 @@
         self.step(id, ControlEvent::Tick);
     }
 
-    /// Kills a host; its disk keeps what was synced.
+    /// Kills a host; its disk keeps the synced records.
     pub fn kill(&mut self, id: HostId) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.host = None;
@@ -132,13 +133,13 @@
         }
     }
 
-    /// Cuts a host off from others, or joins it again.
+    /// Cuts a host off from others, or reconnects it.
     pub fn isolate(&mut self, id: HostId, others: &[HostId], cut: bool) {
         for other in others.iter().filter(|other| **other != id) {
             for pair in [(id, *other), (*other, id)] {
                 match cut {
-                    true => self.cut.insert(pair),
-                    false => self.cut.remove(&pair),
+                    true => self.cut_links.insert(pair),
+                    false => self.cut_links.remove(&pair),
                 };
             }
         }
@@ -148,12 +149,12 @@
         self.hosts.get(&id)?.host.as_ref()
     }
 
-    /// The host that leads and can prove it.
+    /// The confirmed leader, if there is one.
     pub fn leader(&self) -> Option<HostId> {
         self.leaders().next()
     }
 
-    /// All hosts that lead and can prove it: more than one is a fault.
+    /// All confirmed leaders; more than one is a fault.
     pub fn leaders(&self) -> impl Iterator<Item = HostId> + '_ {
         let leads =
             |id: &HostId| self.host(*id).is_some_and(|host| host.is_current_leader(self.now));
@@ -172,10 +173,10 @@
         ticket
     }
 
-    /// Sends a configuration to the leader until it is accepted or the time is
-    /// up.
-    pub fn replace(&mut self, version: u64, patience: Duration) -> bool {
-        let end = self.now + patience;
+    /// Sends a configuration to the leader until it is accepted or the timeout
+    /// has passed; true if it was accepted.
+    pub fn replace(&mut self, version: u64, timeout: Duration) -> bool {
+        let end = self.now + timeout;
         while self.now < end {
             if let Some(leader) = self.leader() {
                 let table = Arc::new(table(version));
@@ -191,18 +192,20 @@
         false
     }
 
-    pub fn event(&mut self, id: HostId, event: ControlEvent) {
+    pub fn handle_event(&mut self, id: HostId, event: ControlEvent) {
         self.step(id, event);
     }
 
-    /// A database announces itself at a host, and the world knows it.
+    /// Announces a database to a host and makes it answer status requests and
+    /// promotions.
     pub fn announce(&mut self, id: HostId, record: &InstanceRecord) {
         self.instances.insert(record.key.id.clone(), record.clone());
         self.step(id, ControlEvent::Announced(record.clone()));
     }
 
-    /// An entry host renews at a host, with the state that it was sent.
-    pub fn renew(&mut self, at: HostId, entry: HostId) {
+    /// Renews an entry host's lease at a control host, reporting the newest
+    /// state that was sent to it.
+    pub fn renew_lease(&mut self, at: HostId, entry: HostId) {
         let applied = self
             .updates
             .iter()
@@ -232,10 +235,10 @@
             match (next_event, tick_at) {
                 (Some(at), tick) if at <= end && tick.is_none_or(|tick| at <= tick) => {
                     self.now = self.now.max(at);
-                    self.take_next();
+                    self.process_next_event();
                 }
                 (_, Some(at)) if at <= end => {
-                    // A tick that changes nothing must not stop the clock.
+                    // The clock advances even if the tick changes nothing.
                     self.now = at.max(self.now + Duration::from_micros(100));
                     if let Some((_, id)) = next_tick {
                         self.step(id, ControlEvent::Tick);
@@ -249,18 +252,18 @@
         }
     }
 
-    fn take_next(&mut self) {
-        let Some((_, happening)) = self.queue.pop_first() else {
+    fn process_next_event(&mut self) {
+        let Some((_, event)) = self.queue.pop_first() else {
             return;
         };
-        match happening {
-            Happening::Event { to, boot, event } => {
-                let fits = self.hosts.get(&to).is_some_and(|h| h.boot == boot && !h.frozen);
-                if fits {
+        match event {
+            SimulatedEvent::Delivered { to, boot, event } => {
+                let deliverable = self.hosts.get(&to).is_some_and(|h| h.boot == boot && !h.frozen);
+                if deliverable {
                     self.step(to, event);
                 }
             }
-            Happening::Synced { host, boot, number, records } => {
+            SimulatedEvent::Synced { host, boot, number, records } => {
                 let Some(state) = self.hosts.get_mut(&host).filter(|h| h.boot == boot) else {
                     return;
                 };
@@ -272,9 +275,9 @@
         }
     }
 
-    fn later(&mut self, delay: Duration, happening: Happening) {
+    fn schedule(&mut self, delay: Duration, event: SimulatedEvent) {
         self.count += 1;
-        self.queue.insert((self.now + delay, self.count), happening);
+        self.queue.insert((self.now + delay, self.count), event);
     }
 
     fn step(&mut self, id: HostId, event: ControlEvent) {
@@ -284,39 +287,41 @@
         };
         let effects = host.step(now, event);
         for effect in effects {
-            self.carry_out(id, effect);
+            self.execute_effect(id, effect);
         }
     }
 
-    fn reaches(&self, from: HostId, to: HostId) -> bool {
-        !self.cut.contains(&(from, to)) && self.hosts.get(&to).is_some_and(|h| h.host.is_some())
+    fn can_reach(&self, from: HostId, to: HostId) -> bool {
+        !self.cut_links.contains(&(from, to))
+            && self.hosts.get(&to).is_some_and(|h| h.host.is_some())
     }
 
-    /// Links are opened by need; the first message says who opened one.
+    /// Sends an event; the first one on a link is preceded by the opening of
+    /// the link.
     fn send(&mut self, from: HostId, to: HostId, event: ControlEvent) {
-        if !self.reaches(from, to) {
+        if !self.can_reach(from, to) {
             return;
         }
         let is_new = self.hosts.get_mut(&from).is_some_and(|host| host.linked.insert(to));
         let boot = self.hosts[&to].boot;
         if is_new {
             let event = ControlEvent::PeerLinked(from);
-            self.later(LINK_DELAY, Happening::Event { to, boot, event });
+            self.schedule(LINK_DELAY, SimulatedEvent::Delivered { to, boot, event });
         }
-        self.later(LINK_DELAY, Happening::Event { to, boot, event });
+        self.schedule(LINK_DELAY, SimulatedEvent::Delivered { to, boot, event });
     }
 
-    fn carry_out(&mut self, id: HostId, effect: ControlEffect) {
+    fn execute_effect(&mut self, id: HostId, effect: ControlEffect) {
         match effect {
             ControlEffect::Dial(peer) => {
                 if let Some(host) = self.hosts.get_mut(&id) {
                     host.dialled.insert(peer);
                 }
-                if self.reaches(id, peer) {
+                if self.can_reach(id, peer) {
                     self.hosts.get_mut(&id).map(|host| host.linked.insert(peer));
                     let boot = self.hosts[&peer].boot;
                     let event = ControlEvent::PeerLinked(id);
-                    self.later(LINK_DELAY, Happening::Event { to: peer, boot, event });
+                    self.schedule(LINK_DELAY, SimulatedEvent::Delivered { to: peer, boot, event });
                 }
             }
             ControlEffect::SendPeer(to, message) => {
@@ -333,7 +338,7 @@
                 };
                 host.disk_free_at = host.disk_free_at.max(now) + host.sync_time;
                 let (boot, delay) = (host.boot, host.disk_free_at.since(now));
-                self.later(delay, Happening::Synced { host: id, boot, number, records });
+                self.schedule(delay, SimulatedEvent::Synced { host: id, boot, number, records });
             }
             ControlEffect::AskStatus { key, .. } => {
                 let status = self.instances.get(&key.id).map(|record| InstanceStatus {
@@ -343,7 +348,7 @@
                 });
                 let boot = self.hosts[&id].boot;
                 let event = ControlEvent::StatusAnswered(key, status);
-                self.later(2 * LINK_DELAY, Happening::Event { to: id, boot, event });
+                self.schedule(2 * LINK_DELAY, SimulatedEvent::Delivered { to: id, boot, event });
             }
             ControlEffect::Promote { service, key, fence } => {
                 self.promoted.push((self.now, id, key.clone(), fence));
@@ -357,7 +362,7 @@
                 };
                 let boot = self.hosts[&id].boot;
                 let event = ControlEvent::PromoteAnswered { service, key, result };
-                self.later(2 * LINK_DELAY, Happening::Event { to: id, boot, event });
+                self.schedule(2 * LINK_DELAY, SimulatedEvent::Delivered { to: id, boot, event });
             }
             ControlEffect::Answer(ticket, answer) => {
                 self.answers.insert(ticket, answer);
@@ -398,7 +403,7 @@
     }
 }
 
-/// The farewell of a database.
-pub fn farewell(record: &InstanceRecord) -> InstanceDeparture {
+/// The departure of a database.
+pub fn departure_of(record: &InstanceRecord) -> InstanceDeparture {
     InstanceDeparture { id: record.key.id.clone(), born_ms: Some(record.key.born_ms) }
 }
--- a/crates/decisions/tests/instance_directory.rs
+++ b/crates/decisions/tests/instance_directory.rs
@@ -1,4 +1,4 @@
-//! Announcements that come late, twice, out of order and through many hosts.
+//! Announcements that arrive late, twice, out of order and through many hosts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn later_start_wins_over_higher_count() {
+fn later_start_wins_over_higher_sequence() {
     let mut directory = InstanceDirectory::default();
     assert_eq!(
         directory.record_announcement(NOW, &record("a", 1, 90, 80)),
@@ -60,7 +60,7 @@
     let mut directory = InstanceDirectory::default();
     directory.record_announcement(NOW, &record("old", 1, 5, 80));
     directory.record_announcement(NOW, &record("new", 2, 1, 80));
-    // Delayed from before the crash of `old`.
+    // Sent before the crash of `old`, and delayed.
     assert_eq!(
         directory.record_announcement(NOW, &record("old", 1, 6, 80)),
         DirectoryChange::Stale
--- a/crates/decisions/tests/primary_changes.rs
+++ b/crates/decisions/tests/primary_changes.rs
@@ -1,11 +1,11 @@
-//! A service's primary is replaced: by suspicion, by plan, over failures of
-//! control, and never while a host may still use the old one.
+//! Changes of a service's primary: on suspicion, by plan, across failures of
+//! control hosts, and never while a host may still use the old primary.
 
 mod control_world;
 
 use std::time::Duration;
 
-use control_world::{ControlWorld, farewell, instance};
+use control_world::{ControlWorld, departure_of, instance};
 use hawthornstack_decisions::{
     control_role::{ControlEvent, EntryReport, EntryUpdate},
     identity::HostId,
@@ -15,12 +15,12 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const LEASE: Duration = Duration::from_millis(3_500);
-const FIRST: HostId = HostId(101);
+const FIRST_ENTRY: HostId = HostId(101);
 const SECOND_ENTRY: HostId = HostId(102);
 
 /// Three control hosts, one service of three databases, and entry hosts that
 /// hold leases.
-fn served_world(entries: &[HostId]) -> (ControlWorld, HostId) {
+fn world_with_service(entries: &[HostId]) -> (ControlWorld, HostId) {
     let mut world = ControlWorld::start(3);
     world.run(3 * SECOND);
     assert!(world.replace(5, SECOND));
@@ -30,11 +30,11 @@
     world.announce(leader, &instance("c", 3, InstanceRole::Replica));
     world.run(SECOND / 10);
     for entry in entries {
-        world.event(leader, ControlEvent::EntryLinked(*entry));
+        world.handle_event(leader, ControlEvent::EntryLinked(*entry));
     }
     for _ in 0..4 {
         for entry in entries {
-            world.renew(leader, *entry);
+            world.renew_lease(leader, *entry);
         }
         world.run(SECOND / 10);
     }
@@ -45,28 +45,28 @@
     world.host(leader).expect("a host").control().terms["books"].clone()
 }
 
-fn suspect(world: &mut ControlWorld, leader: HostId, entry: HostId, reachable: bool) {
+fn report_reachability(world: &mut ControlWorld, leader: HostId, entry: HostId, reachable: bool) {
     let report = EntryReport::PrimaryReachable { service: "books".into(), number: 1, reachable };
-    world.event(leader, ControlEvent::Entry(entry, report));
+    world.handle_event(leader, ControlEvent::Entry(entry, report));
 }
 
 #[test]
-fn first_primary_is_the_one_that_says_so() {
-    let (world, leader) = served_world(&[FIRST]);
+fn first_primary_is_the_one_that_announces_the_role() {
+    let (world, leader) = world_with_service(&[FIRST_ENTRY]);
     let term = term(&world, leader);
     assert_eq!((&*term.primary.id, term.number), ("a", 1));
     assert!(term.is_steady());
 }
 
 #[test]
-fn suspicion_of_one_host_asks_the_others() {
-    let (mut world, leader) = served_world(&[FIRST, SECOND_ENTRY]);
-    suspect(&mut world, leader, FIRST, false);
+fn suspicion_by_one_host_probes_from_the_others() {
+    let (mut world, leader) = world_with_service(&[FIRST_ENTRY, SECOND_ENTRY]);
+    report_reachability(&mut world, leader, FIRST_ENTRY, false);
     world.run(SECOND / 10);
     assert!(term(&world, leader).is_steady());
-    let asked = |update: &EntryUpdate| matches!(update, EntryUpdate::Probe { .. });
-    assert!(world.updates.iter().any(|(to, update)| *to == SECOND_ENTRY && asked(update)));
-    suspect(&mut world, leader, SECOND_ENTRY, true);
+    let is_probe = |update: &EntryUpdate| matches!(update, EntryUpdate::Probe { .. });
+    assert!(world.updates.iter().any(|(to, update)| *to == SECOND_ENTRY && is_probe(update)));
+    report_reachability(&mut world, leader, SECOND_ENTRY, true);
     world.run(3 * SECOND);
     assert!(term(&world, leader).is_steady());
     assert!(world.promoted.is_empty());
@@ -74,16 +74,17 @@
 
 #[test]
 fn promotion_waits_for_every_host_that_may_use_the_old_primary() {
-    let (mut world, leader) = served_world(&[FIRST, SECOND_ENTRY]);
+    let (mut world, leader) = world_with_service(&[FIRST_ENTRY, SECOND_ENTRY]);
     let renewed_at = world.now;
-    world.renew(leader, FIRST);
-    world.renew(leader, SECOND_ENTRY);
-    suspect(&mut world, leader, FIRST, false);
-    suspect(&mut world, leader, SECOND_ENTRY, false);
+    world.renew_lease(leader, FIRST_ENTRY);
+    world.renew_lease(leader, SECOND_ENTRY);
+    report_reachability(&mut world, leader, FIRST_ENTRY, false);
+    report_reachability(&mut world, leader, SECOND_ENTRY, false);
     world.run(SECOND / 20);
     assert_eq!(term(&world, leader).phase, TermPhase::Fencing { planned: false });
-    // The first host gives the term up, the second one is cut off.
-    world.renew(leader, FIRST);
+    // The first host applies the end of the term, the second one does not
+    // renew.
+    world.renew_lease(leader, FIRST_ENTRY);
     world.run(LEASE - Duration::from_millis(300));
     assert!(world.promoted.is_empty());
     world.run(SECOND);
@@ -98,28 +99,28 @@
 }
 
 #[test]
-fn promotion_is_quick_when_all_hosts_give_the_term_up() {
-    let (mut world, leader) = served_world(&[FIRST, SECOND_ENTRY]);
+fn promotion_is_fast_when_all_hosts_apply_the_end_of_the_term() {
+    let (mut world, leader) = world_with_service(&[FIRST_ENTRY, SECOND_ENTRY]);
     let began = world.now;
-    suspect(&mut world, leader, FIRST, false);
-    suspect(&mut world, leader, SECOND_ENTRY, false);
+    report_reachability(&mut world, leader, FIRST_ENTRY, false);
+    report_reachability(&mut world, leader, SECOND_ENTRY, false);
     world.run(SECOND / 100);
-    world.renew(leader, FIRST);
-    world.renew(leader, SECOND_ENTRY);
+    world.renew_lease(leader, FIRST_ENTRY);
+    world.renew_lease(leader, SECOND_ENTRY);
     world.run(SECOND / 2);
     let (at, ..) = world.promoted.first().expect("a promotion");
     assert!(at.since(began) < SECOND / 10, "{:?}", at.since(began));
 }
 
 #[test]
-fn draining_primary_is_replaced_by_plan() {
-    let (mut world, leader) = served_world(&[FIRST]);
+fn draining_primary_is_replaced_by_a_planned_change() {
+    let (mut world, leader) = world_with_service(&[FIRST_ENTRY]);
     let draining =
         InstanceRecord { draining: true, sequence: 2, ..instance("a", 1, InstanceRole::Primary) };
     world.announce(leader, &draining);
     world.run(SECOND / 100);
     assert_eq!(term(&world, leader).phase, TermPhase::Fencing { planned: true });
-    world.renew(leader, FIRST);
+    world.renew_lease(leader, FIRST_ENTRY);
     world.run(2 * SECOND);
     let term = term(&world, leader);
     assert!(term.is_steady());
@@ -128,11 +129,11 @@
 
 #[test]
 fn next_leader_finishes_the_change_with_one_promoted_database() {
-    let (mut world, leader) = served_world(&[FIRST]);
-    suspect(&mut world, leader, FIRST, false);
+    let (mut world, leader) = world_with_service(&[FIRST_ENTRY]);
+    report_reachability(&mut world, leader, FIRST_ENTRY, false);
     world.run(SECOND / 100);
-    world.renew(leader, FIRST);
-    // The leader dies as it calls for the promotion.
+    world.renew_lease(leader, FIRST_ENTRY);
+    // The leader is killed as it asks for the promotion.
     world.run(SECOND / 100);
     world.kill(leader);
     world.run(8 * SECOND);
@@ -147,13 +148,13 @@
 }
 
 #[test]
-fn primary_that_left_is_replaced() {
-    let (mut world, leader) = served_world(&[FIRST]);
+fn departed_primary_is_replaced() {
+    let (mut world, leader) = world_with_service(&[FIRST_ENTRY]);
     let gone = instance("a", 1, InstanceRole::Primary);
     world.instances.remove("a");
-    world.event(leader, ControlEvent::Departed(farewell(&gone)));
+    world.handle_event(leader, ControlEvent::Departed(departure_of(&gone)));
     for _ in 0..20 {
-        world.renew(leader, FIRST);
+        world.renew_lease(leader, FIRST_ENTRY);
         world.run(SECOND);
     }
     let term = term(&world, leader);
@@ -162,8 +163,8 @@
 }
 
 #[test]
-fn databases_are_remembered_over_a_restart_of_all() {
-    let (mut world, _) = served_world(&[FIRST]);
+fn databases_are_kept_across_a_restart_of_all_hosts() {
+    let (mut world, _) = world_with_service(&[FIRST_ENTRY]);
     for id in [1, 2, 3] {
         world.kill(HostId(id));
     }
@@ -177,17 +178,18 @@
     assert_eq!(directory.instances_of_service("books").count(), 3);
 }
 
-/// Replays of the log after a loss of all control hosts must not carry out its
-/// decisions again: an older one would lead past the present primary.
+/// When all control hosts restart and replay their log, they must not execute
+/// its decisions again: an old one would promote a database that is no longer
+/// the primary.
 #[test]
-fn old_promotions_are_not_repeated_after_a_restart_of_all() {
-    let (mut world, leader) = served_world(&[FIRST]);
+fn old_promotions_are_not_repeated_after_a_restart_of_all_hosts() {
+    let (mut world, leader) = world_with_service(&[FIRST_ENTRY]);
     for number in 1..=2 {
         let report =
             EntryReport::PrimaryReachable { service: "books".into(), number, reachable: false };
-        world.event(leader, ControlEvent::Entry(FIRST, report));
+        world.handle_event(leader, ControlEvent::Entry(FIRST_ENTRY, report));
         world.run(SECOND / 100);
-        world.renew(leader, FIRST);
+        world.renew_lease(leader, FIRST_ENTRY);
         world.run(SECOND);
         let term = term(&world, leader);
         assert!(term.is_steady());
@@ -204,13 +206,13 @@
     world.updates.clear();
     for id in [1, 2, 3] {
         world.boot(HostId(id), false);
-        world.event(HostId(id), ControlEvent::EntryLinked(FIRST));
+        world.handle_event(HostId(id), ControlEvent::EntryLinked(FIRST_ENTRY));
     }
     world.run(2 * SECOND);
     let leader = world.leader().expect("a leader");
     assert_eq!(term(&world, leader).number, 3);
     assert_eq!(world.promoted, promoted);
-    // Entry hosts are told the newest state alone.
+    // Entry hosts get only the newest state.
     let old_state = |update: &EntryUpdate| match update {
         EntryUpdate::State { terms, .. } => terms.iter().any(|term| term.number < 3),
         _ => false,
--- a/crates/decisions/tests/voter_replacement.rs
+++ b/crates/decisions/tests/voter_replacement.rs
@@ -1,4 +1,5 @@
-//! Control hosts come and go: empty ones take the place of those that are gone.
+//! Replacement of control hosts: empty hosts become voters in place of lost
+//! ones.
 
 mod control_world;
 
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn seeds_form_together() {
+fn seeds_become_the_first_voters() {
     let mut world = ControlWorld::start(3);
     world.run(3 * SECOND);
     let leader = world.leader().expect("a leader");
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn empty_host_replaces_one_that_is_gone() {
+fn empty_host_replaces_a_killed_voter() {
     for gone in 1..=3 {
         let mut world = ControlWorld::start(3);
         world.run(3 * SECOND);
@@ -36,7 +37,7 @@
         let mut expected = ids(&[1, 2, 3, 9]);
         expected.remove(&HostId(gone));
         assert_eq!(world.voters(leader), expected, "host {gone} gone");
-        // One of the others may be lost now.
+        // The new voters must survive the loss of another disk.
         let other = expected.iter().copied().find(|id| *id != HostId(9)).expect("another voter");
         world.wipe(other);
         world.run(3 * SECOND);
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn wiped_host_is_taken_in_again() {
+fn wiped_host_becomes_a_voter_again() {
     let mut world = ControlWorld::start(3);
     world.run(3 * SECOND);
     assert!(world.replace(5, SECOND));
