--- a/crates/decisions/src/entry_role/connection_state.rs
+++ b/crates/decisions/src/entry_role/connection_state.rs
@@ -8,7 +8,7 @@
 /// A statement that restores a session on a shared connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RestoreStep {
-    /// Clears values and prepared statements.
+    /// Clears session values and prepared statements.
     Reset,
     /// Sets a session value.
     SetValue {
@@ -19,15 +19,16 @@
     },
     /// Prepares a statement.
     Prepare {
-        /// Its name on the connection.
+        /// Its name on this connection.
         name: Arc<str>,
-        /// What it runs.
+        /// Statement to prepare.
         prepared: PreparedStatement,
     },
 }
 
-/// Values and prepared statements that a shared connection holds. Names are
-/// the connection's own, so that callers' names do not collide.
+/// Session values and prepared statements that a shared connection holds. The
+/// connection assigns its own names to prepared statements, so that callers'
+/// names do not collide.
 #[derive(Debug, Default)]
 pub struct ConnectionState {
     values: BTreeMap<Arc<str>, Arc<str>>,
@@ -35,9 +36,9 @@
 }
 
 impl ConnectionState {
-    /// What must be sent so that the connection holds exactly the session's
-    /// values. The state counts as changed at once; a connection on which a
-    /// step fails must be closed.
+    /// Returns the statements to send so that the connection holds exactly the
+    /// session's values. The state is updated before they are sent, so a
+    /// connection on which a step fails must be closed.
     pub fn restore_values(&mut self, session: &SessionState) -> Vec<RestoreStep> {
         let mut steps = Vec::new();
         let has_extra = self.values.keys().any(|name| !session.values.contains_key(name));
@@ -56,7 +57,7 @@
         steps
     }
 
-    /// The connection's name of a prepared statement, and the step that
+    /// The connection's name for a prepared statement, and the step that
     /// prepares it if it is new.
     pub fn prepared_name(
         &mut self,
--- a/crates/decisions/src/entry_role/entry_view.rs
+++ b/crates/decisions/src/entry_role/entry_view.rs
@@ -16,35 +16,36 @@
     sessions::rank_hosts,
 };
 
-/// Part of the accepted age that is kept for the way to the replica.
-const AGE_MARGIN: Duration = Duration::from_millis(50);
-/// Age of a mark at which replicas usually hold it. A replica that does not
-/// refuses at once and is left out for a while.
-const SETTLED_AGE: Duration = Duration::from_millis(80);
-/// How much dearer a read is at the primary, which alone takes the writes.
-const PRIMARY_WEIGHT: f64 = 1.5;
-/// How much dearer a read is in another data centre.
-const REMOTE_WEIGHT: f64 = 1.25;
-
-/// Connections of one home: enough for a few open transactions beside the
-/// statements that run.
-const HOME_CONNECTIONS: u32 = 3;
-/// Most homes of one database: every connection costs it a handshake, and few
-/// hosts keep the same connections busier.
-const MOST_HOMES: u32 = 8;
-/// Most hosts that connect to one database without homes: twice as many
-/// handshakes are cheaper than a second host on the way.
-const MOST_DIRECT_HOSTS: u32 = 2 * MOST_HOMES;
+/// Subtracted from the maximum age of a read, for the time that the read takes to
+/// reach a replica.
+const TRANSIT_MARGIN: Duration = Duration::from_millis(50);
+/// Age at which replicas usually hold a sampled position. A replica that lacks it
+/// refuses the read at once and is then avoided for a while.
+const LIKELY_REPLICATED_AGE: Duration = Duration::from_millis(80);
+/// Cost factor of a read at the primary, since only the primary serves writes.
+const PRIMARY_COST_FACTOR: f64 = 1.5;
+/// Cost factor of a read in another data centre.
+const REMOTE_COST_FACTOR: f64 = 1.25;
+
+/// Connections that a database must have for each gateway: enough for a few open
+/// transactions besides the statements that run.
+const CONNECTIONS_PER_GATEWAY: u32 = 3;
+/// Most gateways of one database. Each connection costs the database a handshake,
+/// and fewer hosts use the same number of connections better.
+const MAX_GATEWAYS: u32 = 8;
+/// Most hosts that connect to one database directly. Up to twice as many handshakes
+/// as with gateways cost less than forwarding through a second host.
+const MAX_DIRECT_HOSTS: u32 = 2 * MAX_GATEWAYS;
 
 /// How a host reaches a database.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DatabasePath {
-    /// By connections of its own, at most about so many.
+    /// Over its own connections, at most about `connections` of them.
     Direct {
-        /// The host's even share.
+        /// The host's equal share.
         connections: u32,
     },
-    /// Through one of these hosts, the preferred one first.
+    /// Through one of these gateways, in order of preference.
     Gateways(Vec<HostId>),
 }
 
@@ -55,33 +56,33 @@
     Usable {
         /// The primary.
         record: InstanceRecord,
-        /// The term; checked again when the answer comes.
+        /// Number of the term; checked again when the answer arrives.
         number: u64,
     },
-    /// Not now: no lease, or the primary is being replaced.
+    /// Not now: there is no lease, no known primary, or the primary is being replaced.
     Unavailable,
 }
 
 /// What a read must see.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadRequirement {
-    /// Everything that was acknowledged: only the primary can tell.
+    /// Every acknowledged commit; only the primary guarantees that.
     Latest,
-    /// This position; `likely_replicated` if replicas that keep up hold it.
+    /// Every commit up to this position.
     Position {
         /// The position.
         position: LogPosition,
-        /// It is older than the usual replication lag.
+        /// True if replicas without unusual lag hold the position.
         likely_replicated: bool,
     },
 }
 
-/// Where a read goes.
+/// Database that a read is sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadTarget {
-    /// To the primary, if it may be used.
+    /// The primary, if it may be used.
     Primary,
-    /// To this replica, which must hold the position.
+    /// This replica, which must hold the position.
     Replica {
         /// The replica.
         record: InstanceRecord,
@@ -90,43 +91,43 @@
     },
 }
 
-/// All that an entry host knows of services, and its right to serve.
+/// What an entry host knows about services, and the lease under which it serves.
 #[derive(Debug)]
 pub struct EntryView {
     data_centre: Arc<str>,
     directory: InstanceDirectory,
     routes: Option<Arc<RouteTable>>,
-    by_database: HashMap<Arc<str>, Arc<RouteRule>>,
+    routes_by_database: HashMap<Arc<str>, Arc<RouteRule>>,
     terms: BTreeMap<Arc<str>, ServiceTerm>,
-    marks: BTreeMap<Arc<str>, SampledPositions>,
+    sampled_positions: BTreeMap<Arc<str>, SampledPositions>,
     lease: HeldLease,
     applied: u64,
     entry_hosts: u32,
-    homes: Vec<HostId>,
-    /// What this host saw of the databases.
+    gateway_candidates: Vec<HostId>,
+    /// Load and health of the databases, as observed by this host.
     pub loads: LoadTable,
 }
 
 impl EntryView {
-    /// A host that knows nothing yet.
+    /// The view of a host that has received nothing yet.
     pub fn new(data_centre: Arc<str>) -> Self {
         Self {
             data_centre,
             directory: InstanceDirectory::default(),
             routes: None,
-            by_database: HashMap::new(),
+            routes_by_database: HashMap::new(),
             terms: BTreeMap::new(),
-            marks: BTreeMap::new(),
+            sampled_positions: BTreeMap::new(),
             lease: HeldLease::default(),
             applied: 0,
             entry_hosts: 1,
-            homes: Vec::new(),
+            gateway_candidates: Vec::new(),
             loads: LoadTable::default(),
         }
     }
 
-    /// Takes the committed state; an older one changes nothing. Returns true
-    /// if it was newer.
+    /// Applies the committed state at `index` and returns true if it was newer
+    /// than the applied one. Older terms or routes change nothing.
     pub fn apply_state(
         &mut self,
         index: u64,
@@ -134,7 +135,7 @@
         terms: Vec<ServiceTerm>,
     ) -> bool {
         if let Some(table) = routes.filter(|table| table.version > self.routes_version()) {
-            self.by_database = table
+            self.routes_by_database = table
                 .routes
                 .iter()
                 .rev()
@@ -150,7 +151,8 @@
         true
     }
 
-    /// Extends the lease, counted from `sent_at`.
+    /// Extends the lease; `duration` counts from `sent_at`, when it was requested.
+    /// `entry_hosts` is the number of hosts that share the databases' connections.
     pub fn extend_lease(
         &mut self,
         sent_at: Moment,
@@ -162,31 +164,32 @@
         self.entry_hosts = entry_hosts.max(1);
     }
 
-    /// Sets the entry hosts that may be gateways.
+    /// Sets the hosts among which the gateways are chosen.
     pub fn set_entry_hosts(&mut self, hosts: Vec<HostId>) {
-        self.homes = hosts;
+        self.gateway_candidates = hosts;
     }
 
-    /// How a host connects to a database, where `connections` may be opened by
-    /// all hosts together.
+    /// How host `me` reaches a database to which all hosts together may open
+    /// `connections` connections.
     ///
-    /// With too few connections for every host to have a gateway's number, or
-    /// with more hosts than a database should have to accept handshakes from,
-    /// some hosts are the database's gateways: they alone connect to it, and the
-    /// others send their statements there.
+    /// If there are too few connections to give every host as many as a gateway
+    /// needs, or more hosts than a database should accept handshakes from, some
+    /// hosts become the database's gateways: only they connect to it, and the
+    /// others send their statements through them.
     pub fn path_to(&self, me: HostId, instance: &str, connections: u32) -> DatabasePath {
         let hosts = self.entry_hosts;
-        let for_all = connections >= HOME_CONNECTIONS * hosts && hosts <= MOST_DIRECT_HOSTS;
-        if for_all || self.homes.is_empty() {
+        let all_direct =
+            connections >= CONNECTIONS_PER_GATEWAY * hosts && hosts <= MAX_DIRECT_HOSTS;
+        if all_direct || self.gateway_candidates.is_empty() {
             return DatabasePath::Direct { connections: connections / hosts };
         }
-        let homes = (connections / HOME_CONNECTIONS).clamp(1, MOST_HOMES);
-        let mut ranked = rank_hosts(instance.as_bytes(), self.homes.iter().copied());
-        ranked.truncate(homes as usize);
+        let count = (connections / CONNECTIONS_PER_GATEWAY).clamp(1, MAX_GATEWAYS);
+        let mut ranked = rank_hosts(instance.as_bytes(), self.gateway_candidates.iter().copied());
+        ranked.truncate(count as usize);
         if ranked.contains(&me) {
-            return DatabasePath::Direct { connections: connections / homes };
+            return DatabasePath::Direct { connections: connections / count };
         }
-        // Each host has an order of its own, so that the homes share the work.
+        // Each host has its own order, so that the gateways share the load.
         let key = [instance.as_bytes(), &me.0.to_be_bytes()].concat();
         DatabasePath::Gateways(rank_hosts(&key, ranked))
     }
@@ -207,7 +210,7 @@
         self.prune_loads();
     }
 
-    /// Removes databases whose announcements stayed away for too long.
+    /// Removes databases that stopped announcing themselves.
     pub fn remove_expired(&mut self, departures: &[InstanceDeparture]) {
         for departure in departures {
             self.directory.remove(departure);
@@ -215,7 +218,7 @@
         self.prune_loads();
     }
 
-    /// Index of control's log that is applied here.
+    /// Index in control's log up to which the state is applied here.
     pub fn applied(&self) -> u64 {
         self.applied
     }
@@ -232,35 +235,35 @@
 
     /// The route of a database name.
     pub fn route(&self, database: &str) -> Option<Arc<RouteRule>> {
-        self.by_database.get(database).cloned()
+        self.routes_by_database.get(database).cloned()
     }
 
-    /// Hosts that share the databases' connections.
+    /// Number of hosts that share the databases' connections.
     pub fn entry_hosts(&self) -> u32 {
         self.entry_hosts
     }
 
-    /// True while the lease holds.
+    /// True while the lease is valid.
     pub fn has_lease(&self, now: Moment) -> bool {
         self.lease.is_valid(now, self.applied)
     }
 
-    /// Time for which the lease still holds.
+    /// Time until the lease expires.
     pub fn lease_remaining(&self, now: Moment) -> Duration {
         self.lease.remaining(now, self.applied)
     }
 
-    /// The primary's record and term, whether or not it may be used.
+    /// The service's primary and its term, whether or not they may be used.
     pub fn term(&self, service: &str) -> Option<&ServiceTerm> {
         self.terms.get(service)
     }
 
-    /// The database with this key, if it is still the newest start.
+    /// The database with this key, if that is still its latest incarnation.
     pub fn instance(&self, key: &InstanceKey) -> Option<&InstanceRecord> {
         self.directory.get_by_key(key)
     }
 
-    /// The newest start of a database by its id.
+    /// The latest incarnation of the database with this id.
     pub fn instance_by_id(&self, id: &str) -> Option<&InstanceRecord> {
         self.directory.get(id)
     }
@@ -281,14 +284,15 @@
         }
     }
 
-    /// True if a write's answer from the primary of this term may be given.
+    /// True if a write's answer from the primary of this term may be passed on to the
+    /// caller.
     pub fn accepts_answer(&self, now: Moment, service: &str, number: u64) -> bool {
         self.has_lease(now)
             && self.terms.get(service).is_some_and(|term| term.accepts_answers(number))
     }
 
-    /// Records a position that the primary reported, if the lease and the term
-    /// still hold.
+    /// Records a position that the primary reported, if the lease is valid and the
+    /// term still accepts answers.
     pub fn record_primary_position(
         &mut self,
         now: Moment,
@@ -298,46 +302,49 @@
         position: LogPosition,
     ) {
         if self.accepts_answer(now, service, number) {
-            self.marks.entry(service.clone()).or_default().record(sent_at, position);
+            self.sampled_positions.entry(service.clone()).or_default().record(sent_at, position);
         }
     }
 
-    /// What a read of this route must see.
+    /// What a read of this route must see, given the position of the session's last
+    /// commit.
     pub fn read_requirement(
         &self,
         now: Moment,
         route: &RouteRule,
         last_commit: Option<LogPosition>,
     ) -> ReadRequirement {
-        let (max_age, own) = match route.kind {
+        let (max_age, own_commit) = match route.kind {
             RouteKind::Primary => return ReadRequirement::Latest,
             RouteKind::BoundedStaleness { max_age } => (max_age, None),
             RouteKind::ReadYourWrites { max_age } => (max_age, last_commit),
         };
-        let marks = self.marks.get(&route.service);
-        let mark =
-            marks.and_then(|marks| marks.oldest_within(now, max_age.saturating_sub(AGE_MARGIN)));
-        let Some((at, position)) = mark else {
+        let samples = self.sampled_positions.get(&route.service);
+        let sample = samples
+            .and_then(|samples| samples.oldest_within(now, max_age.saturating_sub(TRANSIT_MARGIN)));
+        let Some((at, position)) = sample else {
             return ReadRequirement::Latest;
         };
-        match own.filter(|own| *own > position) {
-            Some(own) => ReadRequirement::Position { position: own, likely_replicated: false },
+        match own_commit.filter(|own_commit| *own_commit > position) {
+            Some(own_commit) => {
+                ReadRequirement::Position { position: own_commit, likely_replicated: false }
+            }
             None => {
-                let settled = now.since(at) >= SETTLED_AGE;
-                ReadRequirement::Position { position, likely_replicated: settled }
+                let likely_replicated = now.since(at) >= LIKELY_REPLICATED_AGE;
+                ReadRequirement::Position { position, likely_replicated }
             }
         }
     }
 
-    /// The best database for a read, leaving out those that were tried.
+    /// The database with the lowest cost for a read, except those already tried.
     pub fn read_target(
         &self,
         now: Moment,
         service: &str,
-        need: ReadRequirement,
+        requirement: ReadRequirement,
         tried: &[InstanceKey],
     ) -> ReadTarget {
-        let ReadRequirement::Position { position, likely_replicated: settled } = need else {
+        let ReadRequirement::Position { position, likely_replicated } = requirement else {
             return ReadTarget::Primary;
         };
         let primary = match self.primary(now, service) {
@@ -352,13 +359,14 @@
         let best = replicas
             .filter_map(|record| {
                 let load = self.loads.get(&record.key);
-                let fits = load.is_usable(now) && load.may_hold(now, position, settled);
-                fits.then(|| (self.cost(record, load.expected_ms(now)), record))
+                let is_eligible =
+                    load.is_usable(now) && load.may_hold(now, position, likely_replicated);
+                is_eligible.then(|| (self.cost(record, load.expected_ms(now)), record))
             })
             .min_by(|(a, _), (b, _)| a.total_cmp(b));
         let primary_cost = primary.filter(|record| !tried.contains(&record.key)).map(|record| {
             let load = self.loads.get(&record.key);
-            PRIMARY_WEIGHT * self.cost(&record, load.expected_ms(now))
+            PRIMARY_COST_FACTOR * self.cost(&record, load.expected_ms(now))
         });
         match (best, primary_cost) {
             (Some((cost, record)), primary) if primary.is_none_or(|primary| cost <= primary) => {
@@ -371,7 +379,7 @@
     fn cost(&self, record: &InstanceRecord, expected_ms: f64) -> f64 {
         match record.data_centre == self.data_centre {
             true => expected_ms,
-            false => expected_ms * REMOTE_WEIGHT,
+            false => expected_ms * REMOTE_COST_FACTOR,
         }
     }
 
--- a/crates/decisions/src/entry_role/mod.rs
+++ b/crates/decisions/src/entry_role/mod.rs
@@ -1,4 +1,4 @@
-//! What an entry host knows and decides: routes, leases, positions for reads, the
+//! State and decisions of an entry host: routes, leases, positions for reads, the
 //! choice of a database, and the state of sessions and shared connections.
 
 mod connection_state;
--- a/crates/decisions/src/entry_role/queue_order.rs
+++ b/crates/decisions/src/entry_role/queue_order.rs
@@ -2,33 +2,34 @@
 
 use crate::clock::Moment;
 
-/// What a waiting statement's place in the queue depends on.
+/// Properties of a waiting statement that determine its order in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueuedStatement {
-    /// When it began to wait.
+    /// Time at which it was queued.
     pub arrived: Moment,
-    /// Time within which its answer is best given.
+    /// Target time from arrival to answer.
     pub objective: Duration,
     /// 0 is the most urgent.
     pub priority: u32,
 }
 
 impl QueuedStatement {
-    fn is_in_time(&self, now: Moment, expected: Duration) -> bool {
+    fn can_meet_objective(&self, now: Moment, expected: Duration) -> bool {
         now.since(self.arrived) + expected <= self.objective
     }
 }
 
-/// Which waiting statement goes next; the queue is in order of arrival and a
-/// statement takes about `expected`.
+/// Index of the waiting statement to send next; the queue is in order of arrival
+/// and a statement takes about `expected`.
 ///
 /// Statements that can still meet their objective go first, by priority and
 /// then in order of arrival. Once the oldest of them has used half of its
-/// objective, work arrives faster than it is done: then the newest goes first,
-/// since in order of arrival all would be answered just too late. What is late
-/// already goes when nothing else waits.
+/// objective, statements arrive faster than they are answered. Then the newest
+/// goes first, since in order of arrival all would be answered just too late.
+/// Statements that can no longer meet their objective go when no other one waits,
+/// the newest first.
 pub fn next_in_queue(queue: &[QueuedStatement], now: Moment, expected: Duration) -> Option<usize> {
-    let in_time = queue.iter().enumerate().filter(|(_, s)| s.is_in_time(now, expected));
+    let in_time = queue.iter().enumerate().filter(|(_, s)| s.can_meet_objective(now, expected));
     let urgent = in_time.clone().map(|(_, s)| s.priority).min();
     let Some(priority) = urgent else {
         return queue.len().checked_sub(1);
--- a/crates/decisions/src/entry_role/sampled_positions.rs
+++ b/crates/decisions/src/entry_role/sampled_positions.rs
@@ -2,40 +2,42 @@
 
 use crate::{clock::Moment, positions::LogPosition};
 
-/// Time for which marks are kept; reads that accept more age get a younger
-/// mark.
-const MARK_RETENTION: Duration = Duration::from_secs(10);
-/// Shortest distance between two kept marks.
-const MARK_SPACING: Duration = Duration::from_millis(25);
+/// Time for which samples are kept; reads that accept older data get a younger
+/// sample.
+const SAMPLE_RETENTION: Duration = Duration::from_secs(10);
+/// Shortest time between two kept samples.
+const SAMPLE_SPACING: Duration = Duration::from_millis(25);
 
-/// Positions of a service's primary, each with the moment its statement was
-/// sent: the primary's log then held every commit acknowledged before.
+/// Log positions of a service's primary, each with the time at which the statement
+/// that returned it was sent. The position covers every commit that was
+/// acknowledged before that time.
 #[derive(Debug, Default)]
 pub struct SampledPositions {
-    marks: VecDeque<(Moment, LogPosition)>,
+    samples: VecDeque<(Moment, LogPosition)>,
 }
 
 impl SampledPositions {
-    /// Records a position that came with an answer to a statement sent at
-    /// `sent_at`, while the lease held.
+    /// Records the position in the answer to a statement sent at `sent_at`. The
+    /// caller checks that the lease was still valid. A sample that is older or
+    /// lower than the last one is ignored.
     pub fn record(&mut self, sent_at: Moment, position: LogPosition) {
-        if let Some((last, last_position)) = self.marks.back_mut() {
+        if let Some((last, last_position)) = self.samples.back_mut() {
             if sent_at < *last || position < *last_position {
                 return;
             }
-            if sent_at.since(*last) < MARK_SPACING {
+            if sent_at.since(*last) < SAMPLE_SPACING {
                 return;
             }
         }
-        self.marks.push_back((sent_at, position));
-        while self.marks.front().is_some_and(|(at, _)| sent_at.since(*at) > MARK_RETENTION) {
-            self.marks.pop_front();
+        self.samples.push_back((sent_at, position));
+        while self.samples.front().is_some_and(|(at, _)| sent_at.since(*at) > SAMPLE_RETENTION) {
+            self.samples.pop_front();
         }
     }
 
-    /// The oldest sample that is no older than `max_age`: what a read needs to
-    /// see at least.
+    /// The oldest sample that is no older than `max_age`: the minimum position
+    /// that a read with this staleness bound must see.
     pub fn oldest_within(&self, now: Moment, max_age: Duration) -> Option<(Moment, LogPosition)> {
-        self.marks.iter().find(|(at, _)| now.since(*at) <= max_age).copied()
+        self.samples.iter().find(|(at, _)| now.since(*at) <= max_age).copied()
     }
 }
--- a/crates/decisions/src/entry_role/session_state.rs
+++ b/crates/decisions/src/entry_role/session_state.rs
@@ -2,35 +2,35 @@
 
 use crate::positions::LogPosition;
 
-/// What a prepared statement runs, without its arguments.
+/// Statement that was prepared, without its arguments.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PreparedStatement {
-    /// It writes.
+    /// Whether it may change data.
     pub writes: bool,
     /// Its text.
     pub shape: Arc<str>,
 }
 
-/// Where a session's transaction stands.
+/// State of a session's transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransactionPhase {
     /// No transaction is open.
     Idle,
-    /// Begun by the caller, at no database yet.
+    /// Begun by the caller, but not yet at a database.
     Begun {
         /// It only reads, and may run at a replica.
         read_only: bool,
     },
-    /// It runs on a connection of its own.
+    /// Open on a connection that no other session uses.
     Pinned {
         /// It only reads.
         read_only: bool,
     },
-    /// It failed, and waits to be ended.
+    /// Failed; the caller must end it.
     Failed,
 }
 
-/// What a caller set up in its session; lives as long as its connection.
+/// State of a caller's session; lives as long as the caller's connection.
 #[derive(Debug, Clone)]
 pub struct SessionState {
     /// Session values.
@@ -39,7 +39,7 @@
     pub prepared: BTreeMap<Arc<str>, PreparedStatement>,
     /// Position of the session's last commit.
     pub last_commit: Option<LogPosition>,
-    /// Its transaction.
+    /// State of its transaction.
     pub transaction: TransactionPhase,
 }
 
--- a/crates/decisions/tests/queue_order.rs
+++ b/crates/decisions/tests/queue_order.rs
@@ -1,5 +1,5 @@
-//! Load pattern: after an outage, more statements wait than can be answered
-//! within their objective.
+//! Load pattern: after an outage, more statements wait than can be answered within
+//! their objective.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 };
 
 const OBJECTIVE: Duration = Duration::from_millis(200);
-const WORK: Duration = Duration::from_millis(10);
+const SERVICE_TIME: Duration = Duration::from_millis(10);
 
 fn statement(arrived_ms: u64, priority: u32) -> QueuedStatement {
     QueuedStatement { arrived: Moment::from_millis(arrived_ms), objective: OBJECTIVE, priority }
@@ -18,40 +18,42 @@
 #[test]
 fn oldest_goes_first_without_backlog() {
     let queue = [statement(100, 1), statement(110, 1), statement(120, 1)];
-    assert_eq!(next_in_queue(&queue, Moment::from_millis(130), WORK), Some(0));
+    assert_eq!(next_in_queue(&queue, Moment::from_millis(130), SERVICE_TIME), Some(0));
 }
 
 #[test]
 fn urgent_goes_before_older() {
     let queue = [statement(100, 2), statement(110, 1), statement(120, 2)];
-    assert_eq!(next_in_queue(&queue, Moment::from_millis(130), WORK), Some(1));
+    assert_eq!(next_in_queue(&queue, Moment::from_millis(130), SERVICE_TIME), Some(1));
 }
 
 #[test]
-fn late_goes_after_what_can_meet_its_objective() {
+fn late_goes_after_those_that_can_meet_their_objective() {
     let queue = [statement(0, 1), statement(300, 2)];
-    assert_eq!(next_in_queue(&queue, Moment::from_millis(310), WORK), Some(1));
-    assert_eq!(next_in_queue(&queue[..1], Moment::from_millis(310), WORK), Some(0));
-    assert_eq!(next_in_queue(&[], Moment::from_millis(310), WORK), None);
+    assert_eq!(next_in_queue(&queue, Moment::from_millis(310), SERVICE_TIME), Some(1));
+    assert_eq!(next_in_queue(&queue[..1], Moment::from_millis(310), SERVICE_TIME), Some(0));
+    assert_eq!(next_in_queue(&[], Moment::from_millis(310), SERVICE_TIME), None);
 }
 
-/// Serves one statement each `WORK`, with a backlog of one second's arrivals;
-/// returns how many of the arrivals after the outage met their objective.
-fn served_in_time(pick: impl Fn(&[QueuedStatement], Moment) -> Option<usize>) -> usize {
+/// Serves one statement per `SERVICE_TIME`, starting with a backlog of one second's
+/// arrivals. Returns how many of the statements that arrived after the outage met
+/// their objective.
+fn count_served_in_time(select: impl Fn(&[QueuedStatement], Moment) -> Option<usize>) -> usize {
     let arrival_gap = 12;
     let mut queue: Vec<QueuedStatement> = Vec::new();
     let mut in_time = 0;
     let mut next_arrival = 0;
     for tick in 0..300 {
-        let now = Moment::from_millis(1_000 + tick * WORK.as_millis() as u64);
+        let now = Moment::from_millis(1_000 + tick * SERVICE_TIME.as_millis() as u64);
         while Moment::from_millis(next_arrival) <= now {
             queue.push(statement(next_arrival, 1));
             next_arrival += arrival_gap;
         }
-        if let Some(index) = pick(&queue, now) {
+        if let Some(index) = select(&queue, now) {
             let done = queue.remove(index);
             let is_fresh = done.arrived >= Moment::from_millis(1_000);
-            in_time += usize::from(is_fresh && (now + WORK).since(done.arrived) <= OBJECTIVE);
+            in_time +=
+                usize::from(is_fresh && (now + SERVICE_TIME).since(done.arrived) <= OBJECTIVE);
         }
     }
     in_time
@@ -59,8 +61,8 @@
 
 #[test]
 fn backlog_does_not_make_fresh_statements_late() {
-    let in_order = served_in_time(|queue, _| (!queue.is_empty()).then_some(0));
-    let by_objective = served_in_time(|queue, now| next_in_queue(queue, now, WORK));
+    let in_order = count_served_in_time(|queue, _| (!queue.is_empty()).then_some(0));
+    let by_objective = count_served_in_time(|queue, now| next_in_queue(queue, now, SERVICE_TIME));
     let fresh = 3_000 / 12;
     assert!(by_objective * 10 >= fresh * 9, "{by_objective} of {fresh} in time");
     assert!(by_objective > 2 * in_order, "{by_objective} against {in_order} in order of arrival");
--- a/crates/decisions/tests/read_targets.rs
+++ b/crates/decisions/tests/read_targets.rs
@@ -1,5 +1,5 @@
-//! Load pattern: replicas fall behind, and reads that accept different ages
-//! must not keep each other away from them.
+//! Load pattern: replicas lag, and a replica that refuses a read with a small maximum
+//! age must still get reads that accept older data.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -42,8 +42,8 @@
     }
 }
 
-/// A primary, a replica, a lease until 10 s, and a mark a 100 ms from 1 s on:
-/// position (1, n) at n * 100 ms.
+/// A primary, a replica, a lease until 10 s, and a sampled position every 100 ms from
+/// 1 s on: position (1, n) at n * 100 ms.
 fn view(now: Moment) -> EntryView {
     let mut view = EntryView::new(Arc::from("a"));
     let records = [record("p", InstanceRole::Primary, 1), record("r", InstanceRole::Replica, 2)];
@@ -67,8 +67,8 @@
 }
 
 fn target(view: &EntryView, now: Moment, kind: RouteKind, own: Option<LogPosition>) -> ReadTarget {
-    let need = view.read_requirement(now, &route(kind), own);
-    view.read_target(now, SERVICE, need, &[])
+    let requirement = view.read_requirement(now, &route(kind), own);
+    view.read_target(now, SERVICE, requirement, &[])
 }
 
 fn is_replica(target: &ReadTarget) -> bool {
@@ -80,19 +80,19 @@
 const OLD: RouteKind = RouteKind::ReadYourWrites { max_age: Duration::from_millis(2_500) };
 
 #[test]
-fn mark_is_never_older_than_the_accepted_age() {
+fn sample_is_never_older_than_the_maximum_age() {
     let view = view(NOW);
     let ReadRequirement::Position { position, .. } =
         view.read_requirement(NOW, &route(YOUNG), None)
     else {
-        panic!("no mark");
+        panic!("no sampled position");
     };
     assert!(position.offset >= 40, "{position}");
     assert!(position.offset <= 42, "{position}");
 }
 
 #[test]
-fn refusal_of_a_young_read_leaves_the_replica_to_older_ones() {
+fn lag_for_a_young_read_does_not_exclude_older_reads() {
     let mut view = view(NOW);
     assert!(is_replica(&target(&view, NOW, YOUNG, None)));
     let ReadTarget::Replica { record, position } = target(&view, NOW, YOUNG, None) else {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn own_commit_goes_where_it_was_seen() {
+fn own_commit_is_read_where_it_was_observed() {
     let mut view = view(NOW);
     let own = Some(LogPosition::new(1, 49));
     assert_eq!(target(&view, NOW, OLD, own), ReadTarget::Primary);
@@ -116,13 +116,13 @@
 }
 
 #[test]
-fn primary_routes_never_leave_the_primary() {
+fn primary_routes_use_only_the_primary() {
     let view = view(NOW);
     assert_eq!(target(&view, NOW, RouteKind::Primary, None), ReadTarget::Primary);
 }
 
 #[test]
-fn marks_are_taken_only_under_a_lease() {
+fn positions_are_sampled_only_under_a_lease() {
     let mut view = view(NOW);
     let late = Moment::from_millis(11_000);
     view.record_primary_position(late, &Arc::from(SERVICE), 1, late, LogPosition::new(1, 110));
@@ -130,20 +130,20 @@
 }
 
 #[test]
-fn marks_do_not_step_back() {
-    let mut marks = SampledPositions::default();
-    marks.record(Moment::from_millis(100), LogPosition::new(2, 5));
-    marks.record(Moment::from_millis(200), LogPosition::new(1, 9));
-    let mark = marks.oldest_within(Moment::from_millis(210), Duration::from_millis(50));
-    assert_eq!(mark, None);
+fn samples_do_not_go_backwards() {
+    let mut samples = SampledPositions::default();
+    samples.record(Moment::from_millis(100), LogPosition::new(2, 5));
+    samples.record(Moment::from_millis(200), LogPosition::new(1, 9));
+    let sample = samples.oldest_within(Moment::from_millis(210), Duration::from_millis(50));
+    assert_eq!(sample, None);
 }
 
 fn path(view: &EntryView, me: u32, connections: u32) -> DatabasePath {
     view.path_to(HostId(me), "i-1", connections)
 }
 
-/// A view of so many entry hosts.
-fn crowd(hosts: u32) -> EntryView {
+/// The view in a deployment with `hosts` entry hosts.
+fn view_with_hosts(hosts: u32) -> EntryView {
     let mut view = EntryView::new(Arc::from("a"));
     view.extend_lease(Moment::ZERO, Duration::from_secs(1), 0, hosts);
     view.set_entry_hosts((1..=hosts).map(HostId).collect());
@@ -151,34 +151,34 @@
 }
 
 #[test]
-fn every_host_connects_while_there_are_connections_for_all() {
-    let view = crowd(9);
+fn every_host_connects_if_connections_suffice() {
+    let view = view_with_hosts(9);
     for me in 1..=9 {
         assert_eq!(path(&view, me, 27), DatabasePath::Direct { connections: 3 });
     }
 }
 
 #[test]
-fn homes_open_no_more_connections_than_there_are() {
+fn gateways_stay_within_the_connection_limit() {
     for (hosts, connections) in [(60, 20), (71, 169), (71, 5), (300, 1), (10, 9), (9, 15)] {
-        let view = crowd(hosts);
+        let view = view_with_hosts(hosts);
         let mut opened = 0;
-        let mut homes = Vec::new();
+        let mut gateway_lists = Vec::new();
         for me in 1..=hosts {
             match path(&view, me, connections) {
                 DatabasePath::Direct { connections } => opened += connections,
-                DatabasePath::Gateways(ranked) => homes.push(ranked),
+                DatabasePath::Gateways(ranked) => gateway_lists.push(ranked),
             }
         }
         assert!((1..=connections).contains(&opened), "{hosts}: {opened} of {connections}");
-        let first = homes.first().expect("a host that is no home").len();
-        assert!(homes.iter().all(|ranked| ranked.len() == first));
+        let first = gateway_lists.first().expect("a host that is not a gateway").len();
+        assert!(gateway_lists.iter().all(|ranked| ranked.len() == first));
     }
 }
 
 #[test]
-fn homes_share_the_other_hosts() {
-    let view = crowd(60);
+fn gateways_share_the_other_hosts() {
+    let view = view_with_hosts(60);
     let mut preferred = BTreeMap::new();
     for me in 1..=60 {
         if let DatabasePath::Gateways(ranked) = path(&view, me, 20) {
@@ -189,20 +189,20 @@
     assert!(preferred.values().all(|hosts| (3..=16).contains(hosts)), "{preferred:?}");
 }
 
-/// After a loss of power all hosts connect at once, and each handshake takes a
-/// slot: with 71 hosts of 2 connections each, 142 of them.
+/// After a power failure all hosts connect at once, and each handshake occupies a
+/// slot: 71 hosts with 2 connections each need 142 handshakes.
 #[test]
-fn many_hosts_leave_a_database_few_handshakes() {
-    let view = crowd(71);
+fn many_hosts_use_few_handshakes() {
+    let view = view_with_hosts(71);
     let paths: Vec<DatabasePath> = (1..=71).map(|me| path(&view, me, 1_000)).collect();
     let connects = |path: &&DatabasePath| matches!(path, DatabasePath::Direct { .. });
     assert_eq!(paths.iter().filter(connects).count(), 8);
-    let view = crowd(16);
+    let view = view_with_hosts(16);
     assert!((1..=16).all(|me| path(&view, me, 48) == DatabasePath::Direct { connections: 3 }));
 }
 
-/// A replica that answers health checks but fails part of what it runs gets less
-/// work, and more again once it has not failed for a while.
+/// A replica that answers health checks but fails part of its statements gets fewer
+/// reads, and more again after a while without failures.
 #[test]
 fn failing_replica_is_a_last_resort() {
     let now = Moment::from_millis(5_000);
--- a/crates/decisions/tests/shared_connections.rs
+++ b/crates/decisions/tests/shared_connections.rs
@@ -1,5 +1,5 @@
-//! Sessions of many callers on shared connections: each statement sees exactly
-//! its own session's values and prepared statements.
+//! Sessions of many callers on shared connections: each statement sees exactly the
+//! values and prepared statements of its own session.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -8,7 +8,7 @@
 };
 use proptest::prelude::*;
 
-/// A connection at a database, which carries out what it is told.
+/// A simulated connection to a database that applies the restore steps.
 #[derive(Default)]
 struct FakeConnection {
     values: BTreeMap<Arc<str>, Arc<str>>,
@@ -16,7 +16,7 @@
 }
 
 impl FakeConnection {
-    fn carry_out(&mut self, steps: &[RestoreStep]) {
+    fn apply(&mut self, steps: &[RestoreStep]) {
         for step in steps {
             match step {
                 RestoreStep::Reset => *self = Self::default(),
@@ -37,12 +37,12 @@
     SessionState { values, ..SessionState::default() }
 }
 
-fn shape(number: u8) -> PreparedStatement {
+fn prepared_statement(number: u8) -> PreparedStatement {
     PreparedStatement { writes: number.is_multiple_of(2), shape: Arc::from(format!("q{number}")) }
 }
 
 #[test]
-fn same_session_needs_nothing_again() {
+fn same_session_needs_no_restore() {
     let mut connection = ConnectionState::default();
     let session = session(&[(1, 1), (2, 2)]);
     assert_eq!(connection.restore_values(&session).len(), 2);
@@ -59,7 +59,7 @@
 
 proptest! {
     #[test]
-    fn every_statement_finds_its_session(
+    fn every_statement_sees_its_session(
         sessions in prop::collection::vec(
             prop::collection::btree_map(0u8..4, 0u8..3, 0..4), 1..4),
         uses in prop::collection::vec((0usize..4, prop::option::of(0u8..6)), 1..60),
@@ -72,12 +72,12 @@
         let mut connection = FakeConnection::default();
         for (index, prepared) in uses {
             let session = &sessions[index % sessions.len()];
-            connection.carry_out(&state.restore_values(session));
+            connection.apply(&state.restore_values(session));
             prop_assert_eq!(&connection.values, &session.values);
             if let Some(number) = prepared {
-                let (name, step) = state.prepared_name(&shape(number));
-                connection.carry_out(&step.into_iter().collect::<Vec<_>>());
-                prop_assert_eq!(connection.prepared.get(&name), Some(&shape(number)));
+                let (name, step) = state.prepared_name(&prepared_statement(number));
+                connection.apply(&step.into_iter().collect::<Vec<_>>());
+                prop_assert_eq!(connection.prepared.get(&name), Some(&prepared_statement(number)));
             }
         }
     }
