--- a/crates/decisions/src/routes/mod.rs
+++ b/crates/decisions/src/routes/mod.rs
@@ -1,5 +1,5 @@
-//! Whole configurations of an operator: which service a database name leads
-//! to, and how its requests are to be served.
+//! An operator's configuration: which service handles a database name, and how
+//! its requests are served.
 
 mod packed_routes;
 mod route_rule;
--- a/crates/decisions/src/routes/packed_routes.rs
+++ b/crates/decisions/src/routes/packed_routes.rs
@@ -8,12 +8,14 @@
 
 use super::RouteTable;
 
-/// Largest configuration that is unpacked, in bytes.
+/// Largest uncompressed configuration that is read, in bytes.
 const MAX_UNPACKED_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A configuration as entry hosts get it: packed once for all of them, since
-/// their links are narrow and thousands of routes differ in little. The
-/// operator's text, which only control hosts read back, is left out.
+/// A compressed configuration, as sent to entry hosts.
+///
+/// It is compressed once for all of them, since their links are narrow and
+/// thousands of routes differ little. The operator's text is left out, since only
+/// control hosts read it back.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedRoutes {
     /// The operator's version.
@@ -23,33 +25,37 @@
 }
 
 impl PackedRoutes {
-    /// Packs a configuration.
+    /// Compresses a configuration.
     ///
     /// # Errors
-    /// An encoder's error.
+    /// Fails if the configuration cannot be encoded or compressed.
     pub fn pack(table: &RouteTable) -> io::Result<Self> {
-        let shown = RouteTable { source: Arc::from(""), ..table.clone() };
+        let without_source = RouteTable { source: Arc::from(""), ..table.clone() };
         let mut bytes = Vec::new();
-        ciborium::into_writer(&shown, &mut bytes).map_err(io::Error::other)?;
+        ciborium::into_writer(&without_source, &mut bytes).map_err(io::Error::other)?;
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(&bytes)?;
         Ok(Self { version: table.version, packed: encoder.finish()? })
     }
 
-    /// Unpacks the configuration.
+    /// Decompresses the configuration, without the operator's text.
     ///
     /// # Errors
-    /// `InvalidData` if the bytes are none.
+    /// Fails if the bytes cannot be decompressed, with `InvalidData` if the result
+    /// is not a configuration.
     pub fn unpack(&self) -> io::Result<RouteTable> {
         let mut bytes = Vec::new();
         let decoder = DeflateDecoder::new(&*self.packed);
         decoder.take(MAX_UNPACKED_BYTES).read_to_end(&mut bytes)?;
         ciborium::from_reader(&*bytes).map_err(|error| {
-            io::Error::new(io::ErrorKind::InvalidData, format!("packed routes: {error}"))
+            io::Error::new(
+                io::ErrorKind::InvalidData,
+                format!("cannot decode packed routes: {error}"),
+            )
         })
     }
 
-    /// Length of the packed bytes.
+    /// Size of the compressed configuration, in bytes.
     pub fn packed_bytes(&self) -> usize {
         self.packed.len()
     }
--- a/crates/decisions/src/routes/route_rule.rs
+++ b/crates/decisions/src/routes/route_rule.rs
@@ -2,19 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Consistency that the requests of a route are owed.
+/// Consistency that is guaranteed to the requests of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// Every statement runs at the primary.
     Primary,
     /// Reads accept data up to the given age.
     BoundedStaleness {
-        /// Largest age of what a read sees.
+        /// Maximum age of the data that a read sees.
         max_age: Duration,
     },
     /// Reads accept data up to the given age, and see the session's writes.
     ReadYourWrites {
-        /// Largest age of what a read sees.
+        /// Maximum age of the data that a read sees.
         max_age: Duration,
     },
 }
@@ -37,13 +37,13 @@
     pub name: Arc<str>,
     /// Database name that callers give.
     pub database: Arc<str>,
-    /// Path below the database; callers of databases give none.
+    /// Path prefix from the configuration; database callers send no path.
     pub path: Arc<str>,
     /// Consistency of the route.
     pub kind: RouteKind,
-    /// Longest time for one statement.
+    /// Time limit for one statement.
     pub timeout: Duration,
-    /// Time within which a whole operation is best answered.
+    /// Target time for the answer to a whole operation.
     pub objective: Duration,
     /// 0 is the most urgent.
     pub priority: u32,
@@ -51,18 +51,18 @@
     pub service: Arc<str>,
 }
 
-/// What operators say of one service.
+/// The operator's declaration of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRule {
     /// Name of the service.
     pub name: Arc<str>,
-    /// Connections that each of its databases takes, from all hosts together.
+    /// Connections that each of its databases accepts, over all hosts together.
     pub max_connections: u32,
     /// Replicas that must hold a commit before the primary acknowledges it.
     pub sync_replicas: u32,
 }
 
-/// Limits that hold for all callers.
+/// Limits that apply to all callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficLimits {
     /// Time after which a transaction without a statement may be ended.
--- a/crates/decisions/src/routes/route_table.rs
+++ b/crates/decisions/src/routes/route_table.rs
@@ -8,7 +8,7 @@
 /// Why a configuration was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum RouteError {
-    /// A route leads to a service that is not declared.
+    /// A route names a service that is not declared.
     #[snafu(display("route {route} names the unknown service {service}; declare it or change it"))]
     UnknownService {
         /// The route.
@@ -24,7 +24,7 @@
         /// The path.
         path: Arc<str>,
     },
-    /// A route gives its statements no time.
+    /// The timeout of a route is zero.
     #[snafu(display("route {route} has a timeout of 0; give at least 1 ms"))]
     ZeroTimeout {
         /// The route.
@@ -32,17 +32,17 @@
     },
 }
 
-/// A whole configuration under the operator's own version; the highest version
-/// is in force.
+/// A complete configuration with a version that the operator assigns; the highest
+/// version is in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteTable {
-    /// The operator's version.
+    /// Version that the operator assigned.
     pub version: u64,
-    /// Routes.
+    /// Routes, at most one for each database and path.
     pub routes: Vec<RouteRule>,
-    /// Services.
+    /// Services that the routes may name.
     pub services: Vec<ServiceRule>,
-    /// Limits for all callers.
+    /// Limits that apply to all callers.
     pub limits: TrafficLimits,
     /// The configuration as the operator sent it, for reading back.
     pub source: Arc<str>,
@@ -52,10 +52,10 @@
     /// Checks that every route can be served.
     ///
     /// # Errors
-    /// `RouteError` names the route and the mend.
+    /// `RouteError` names the first route that cannot be served and the correction.
     pub fn check(&self) -> Result<(), RouteError> {
         let services: BTreeSet<&str> = self.services.iter().map(|rule| &*rule.name).collect();
-        let mut places = BTreeSet::new();
+        let mut seen_paths = BTreeSet::new();
         for route in &self.routes {
             if !services.contains(&*route.service) {
                 let (route, service) = (route.name.clone(), route.service.clone());
@@ -64,7 +64,7 @@
             if route.timeout.is_zero() {
                 return Err(RouteError::ZeroTimeout { route: route.name.clone() });
             }
-            if !places.insert((&route.database, &route.path)) {
+            if !seen_paths.insert((&route.database, &route.path)) {
                 let (database, path) = (route.database.clone(), route.path.clone());
                 return Err(RouteError::DuplicatePath { database, path });
             }
--- a/crates/decisions/tests/packed_routes.rs
+++ b/crates/decisions/tests/packed_routes.rs
@@ -1,5 +1,5 @@
-//! Load pattern: a configuration of thousands of routes goes to every entry
-//! host over a link of 2 Mbit/s, and must be in force within seconds.
+//! Load pattern: a configuration of thousands of routes is sent to every entry host
+//! over a link of 2 Mbit/s, and must be in force within seconds.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,12 +7,12 @@
     PackedRoutes, RouteKind, RouteRule, RouteTable, ServiceRule, TrafficLimits,
 };
 
-/// Bytes that a link of 2 Mbit/s carries in one second.
-const SECOND_OF_NARROW_LINK: usize = 250_000;
+/// Bytes that a link of 2 Mbit/s transmits in one second.
+const LINK_BYTES_PER_SECOND: usize = 250_000;
 
 fn table(routes: u64) -> RouteTable {
     let rule = |number: u64| {
-        // Names as operators draw them: no two alike.
+        // Unique names without a common pattern, as operators choose them.
         let name = format!("{:x}", number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         RouteRule {
             name: Arc::from(format!("r-{name}")),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn routes_come_out_as_they_went_in() {
+fn routes_round_trip() {
     let table = table(50);
     let packed = PackedRoutes::pack(&table).expect("packed");
     let unpacked = packed.unpack().expect("unpacked");
@@ -52,7 +52,7 @@
 fn thousands_of_routes_fit_a_narrow_link() {
     let packed = PackedRoutes::pack(&table(2_000)).expect("packed");
     let bytes = packed.packed_bytes();
-    assert!(bytes < SECOND_OF_NARROW_LINK / 2, "{bytes} bytes");
+    assert!(bytes < LINK_BYTES_PER_SECOND / 2, "{bytes} bytes");
 }
 
 #[test]
@@ -63,6 +63,6 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 0xff;
     let read: Result<PackedRoutes, _> = ciborium::from_reader(&*bytes);
-    let same = read.ok().and_then(|read| read.unpack().ok());
-    assert!(same.is_none_or(|same| same.routes != table(50).routes));
+    let decoded = read.ok().and_then(|read| read.unpack().ok());
+    assert!(decoded.is_none_or(|decoded| decoded.routes != table(50).routes));
 }
