--- a/crates/decisions/src/directory/announcement.rs
+++ b/crates/decisions/src/directory/announcement.rs
@@ -5,25 +5,25 @@
 use super::DatabaseRole;
 use crate::identity::{DataCentre, DatabaseName, GroupName};
 
-/// What an upstream says of itself, about once a second, to any daemon.
+/// Description of an upstream, which it sends to any daemon about once a second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// Unique name of the database.
     pub database: DatabaseName,
     /// The group it replicates in.
     pub group: GroupName,
-    /// Where it accepts PostgreSQL connections.
+    /// Address on which it accepts PostgreSQL connections.
     pub address: SocketAddr,
-    /// The data centre it stands in.
+    /// Its data centre.
     pub data_centre: DataCentre,
-    /// Connections it accepts, over all clients.
+    /// Connections that it accepts, over all clients.
     pub connections: u32,
-    /// Statements it runs at a time.
+    /// Statements that it runs concurrently.
     pub slots: u32,
-    /// Its role now.
+    /// Its current role.
     pub role: DatabaseRole,
-    /// Its term now.
+    /// Its current term.
     pub term: u64,
-    /// It is about to leave and wants no new work.
+    /// True if it is about to leave and must get no new requests.
     pub leaving: bool,
 }
--- a/crates/decisions/src/directory/database_status.rs
+++ b/crates/decisions/src/directory/database_status.rs
@@ -11,24 +11,24 @@
     Replica,
 }
 
-/// What a database reports of its log.
+/// Report of a database on its role and its log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DatabaseStatus {
     /// Whether it accepts writes.
     pub role: DatabaseRole,
-    /// The term it is in.
+    /// Its current term.
     pub term: u64,
-    /// Terms below this one are refused by it.
+    /// It refuses terms below this one.
     pub fenced_below: u64,
     /// End of its log.
     pub position: LogPosition,
-    /// The terms that its log went through.
+    /// The branches of which its log consists.
     pub history: BranchHistory,
 }
 
 impl DatabaseStatus {
-    /// True if the database holds the entry at `mark` on its branch.
-    pub fn covers(&self, mark: LogPosition) -> bool {
-        self.history.covers(self.position, mark)
+    /// True if the database's log holds the entry at `position`.
+    pub fn covers(&self, position: LogPosition) -> bool {
+        self.history.covers(self.position, position)
     }
 }
--- a/crates/decisions/src/directory/database_view.rs
+++ b/crates/decisions/src/directory/database_view.rs
@@ -3,38 +3,38 @@
 use super::DatabaseStatus;
 use crate::{clock::Moment, control_state::MemberRecord, positions::LogPosition};
 
-/// Weight of the newest sample in the mean service time.
+/// Weight of the newest sample in the moving average of the service time.
 const SERVICE_TIME_GAIN: f64 = 0.1;
-/// Failures in a row after which a database gets no work for a while.
+/// Consecutive failures after which a database is ejected.
 const EJECTION_FAILURES: u32 = 3;
-/// How long an ejected database gets no work.
+/// Time for which an ejected database gets no requests.
 const EJECTION_TIME: Duration = Duration::from_secs(2);
 /// Mean service time assumed before the first sample.
 const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(2);
 
-/// A database's report and when it was asked for and received.
+/// A database's report, with the times at which it was requested and received.
 #[derive(Debug, Clone)]
 pub struct ObservedStatus {
     /// The report.
     pub status: DatabaseStatus,
-    /// When the question was sent.
+    /// When the report was requested.
     pub sent_at: Moment,
-    /// When the answer arrived.
+    /// When the report arrived.
     pub received_at: Moment,
 }
 
-/// What this host knows of one database of a group it serves.
+/// What this host knows about one database of a group that it serves.
 #[derive(Debug)]
 pub struct DatabaseView {
     /// Its committed record.
     pub record: MemberRecord,
     /// Its last report.
     pub observed: Option<ObservedStatus>,
-    /// Connections that this host may use at a time.
+    /// Connections that this host may use at the same time.
     pub connection_share: u32,
     /// Connections in use.
     pub in_use: u32,
-    /// Statements sent outside transactions and not answered yet.
+    /// Unanswered statements that were sent outside transactions.
     pub pending_statements: u32,
     /// Failures since the last success; enough of them eject the database.
     pub consecutive_failures: u32,
@@ -43,7 +43,7 @@
 }
 
 impl DatabaseView {
-    /// A database of which nothing was heard yet.
+    /// The view of a database that has not reported yet.
     pub fn new(record: MemberRecord, share: u32) -> Self {
         Self {
             record,
@@ -57,14 +57,14 @@
         }
     }
 
-    /// True if the database's last report covers `mark`.
-    pub fn covers(&self, mark: LogPosition) -> bool {
-        self.observed.as_ref().is_some_and(|o| o.status.covers(mark))
+    /// True if the database held the entry at `position` at its last report.
+    pub fn covers(&self, position: LogPosition) -> bool {
+        self.observed.as_ref().is_some_and(|observed| observed.status.covers(position))
     }
 
-    /// True if a connection is free and the database is not ejected. Single
-    /// statements are held back beyond its slots, so that they wait here, where
-    /// they take turns, and not in the database.
+    /// True if a connection is free and the database is not ejected. For single
+    /// statements a slot must be free as well, so that excess statements wait on
+    /// this host, where callers take turns, and not in the database.
     pub fn is_available(&self, now: Moment, transaction: bool) -> bool {
         let has_slot = transaction || self.pending_statements < self.record.slots;
         self.in_use < self.connection_share && has_slot && !self.is_ejected(now)
@@ -75,12 +75,12 @@
         self.pending_statements * 2 < self.record.slots
     }
 
-    /// True if the database gets no work because it kept failing.
+    /// True if the database gets no requests because of consecutive failures.
     pub fn is_ejected(&self, now: Moment) -> bool {
         now < self.ejected_until
     }
 
-    /// Mean time from sending a request to its answer.
+    /// Moving average of the time from sending a request to its answer.
     pub fn service_time(&self) -> Duration {
         self.service_time
     }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Ends an ejection, when the database reports again.
+    /// Records a report of the database, which ends an ejection.
     pub fn record_report(&mut self, observed: ObservedStatus) {
         self.consecutive_failures = 0;
         self.ejected_until = Moment::ZERO;
--- a/crates/decisions/src/directory/mod.rs
+++ b/crates/decisions/src/directory/mod.rs
@@ -1,4 +1,5 @@
-//! Upstream databases: what they announce, what they report, how they fare.
+//! Upstream databases: their announcements, their reports, and their observed load
+//! and health.
 
 mod announcement;
 mod database_status;
--- a/crates/decisions/src/requests/mod.rs
+++ b/crates/decisions/src/requests/mod.rs
@@ -1,4 +1,4 @@
-//! Requests of callers on their way through a host.
+//! Callers' requests, their processing phases and their queue on a host.
 
 mod fair_queue;
 mod request_arrival;
--- a/crates/decisions/src/requests/request_arrival.rs
+++ b/crates/decisions/src/requests/request_arrival.rs
@@ -13,17 +13,18 @@
     Write,
     /// A database that holds the session's position.
     SessionRead,
-    /// A database that holds the session's position and is at most this old.
+    /// A database that holds the session's position and whose data is at most this
+    /// old.
     BoundedStaleness(Duration),
 }
 
-/// Where the session's position comes from.
+/// Source of the session's position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PositionSource {
     /// The caller's connection or token holds it.
     Known(LogPosition),
-    /// Other proxies may serve the same session; its position hosts are
-    /// asked. The position is at least the one given.
+    /// Other proxies may serve the same session, so its position hosts are asked.
+    /// The position is at least the one given.
     PositionHosts(LogPosition),
 }
 
@@ -36,16 +37,17 @@
     pub group: GroupName,
     /// Which databases may serve it.
     pub kind: RequestKind,
-    /// Where its session's position comes from.
+    /// Source of its session's position.
     pub position_source: PositionSource,
     /// The session under which positions are stored, if the caller named one.
     pub session: Option<SessionId>,
-    /// It opens a transaction, which holds its connection between statements.
+    /// True if it opens a transaction, which holds its connection between statements.
     pub transaction: bool,
-    /// Who sends it; waiting requests of different names take turns.
+    /// Name of the caller; waiting requests of different callers take turns.
     pub caller: Arc<str>,
-    /// Another host forwarded it, so that it is served here or refused.
+    /// True if another host forwarded it: it is served here or refused, not forwarded
+    /// again.
     pub forwarded: bool,
-    /// When the answer must be given.
+    /// Time by which it must be answered.
     pub deadline: Moment,
 }
--- a/crates/decisions/src/requests/request_record.rs
+++ b/crates/decisions/src/requests/request_record.rs
@@ -7,19 +7,19 @@
     positions::LogPosition,
 };
 
-/// How far a request has come.
+/// Phase in the processing of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestPhase {
-    /// Waits for its session's position hosts.
+    /// Waits for the answers of its session's position hosts.
     LookingUpPosition {
-        /// Position hosts that did not answer yet.
+        /// Position hosts that have not answered yet.
         waiting: BTreeSet<HostId>,
-        /// Highest position received; `None` once a position host knew none.
+        /// Highest position received; `None` once a position host did not know one.
         found: Option<LogPosition>,
-        /// When the primary is asked instead.
+        /// Deadline after which the request goes to the primary instead.
         until: Moment,
     },
-    /// Waits for a database.
+    /// Waits in its group's queue for a database.
     Queued,
     /// Uses a connection to a database.
     Running {
@@ -30,27 +30,27 @@
         /// When it was sent there.
         since: Moment,
     },
-    /// A write waits until a majority of its group holds it.
+    /// The write waits until a majority of its group holds it.
     AwaitingMajority {
         /// Position of the write.
         position: LogPosition,
     },
-    /// Waits until a position host holds the position.
+    /// Waits until a position host confirms that it stored the position.
     StoringPosition {
         /// The position.
         position: LogPosition,
-        /// When the answer is given without confirmation by a position host.
+        /// Deadline after which it is answered without this confirmation.
         until: Moment,
     },
 }
 
-/// A request and how far it has come.
+/// A request and the state of its processing.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
-    /// What was asked.
+    /// The request as it arrived.
     pub arrival: RequestArrival,
-    /// The session's position, once known; `None` sends a read to the primary.
+    /// The session's position, once known; with `None`, a read goes to the primary.
     pub session_position: Option<LogPosition>,
-    /// How far it has come.
+    /// Its current phase.
     pub phase: RequestPhase,
 }
--- a/crates/decisions/src/routing/mod.rs
+++ b/crates/decisions/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Which database serves a request.
+//! Choice of the database that serves a request.
 
 mod read_choice;
 
--- a/crates/decisions/src/routing/read_choice.rs
+++ b/crates/decisions/src/routing/read_choice.rs
@@ -6,44 +6,44 @@
     requests::RequestKind,
 };
 
-/// Cost of another data centre, in microseconds.
-const DISTANCE_COST_US: u64 = 1_000;
+/// Cost added to a database in another data centre, in microseconds.
+const REMOTE_COST_US: u64 = 1_000;
 
-/// What a request asks of the group's databases.
+/// Requirements of a request, and the state of its group that the choice needs.
 #[derive(Debug)]
 pub struct RouteQuery<'a> {
-    /// The time.
+    /// The current time.
     pub now: Moment,
     /// Which databases may serve it.
     pub kind: RequestKind,
-    /// Reads wait so long that the primary may serve them as well.
+    /// True if reads wait so long that the primary may serve them as well.
     pub offload_to_primary: bool,
-    /// It opens a transaction.
+    /// True if it opens a transaction.
     pub transaction: bool,
     /// The position that the database must hold; `None` asks for the primary.
     pub position: Option<LogPosition>,
     /// The confirmed primary, or `None` while it is being replaced.
     pub primary: Option<&'a DatabaseName>,
-    /// The term in force.
+    /// The current term of the group.
     pub term: u64,
-    /// Where this host stands.
+    /// Data centre of this host.
     pub data_centre: &'a DataCentre,
-    /// What the primary was seen to hold.
+    /// Positions sampled at the primary, from which the age of replicas is derived.
     pub samples: &'a PrimarySamples,
 }
 
-/// What to do with a request now.
+/// Result of choosing a database for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DatabaseChoice {
     /// Send it to this database.
     Use(DatabaseName),
-    /// No database that qualifies is free now.
+    /// Wait, since no database that qualifies is free now.
     Wait,
 }
 
-/// Chooses the database with the least expected completion among those that
-/// qualify. A replica that qualifies goes before the primary, whose slots are
-/// the only ones that serve writes.
+/// Chooses the database with the shortest expected completion time among those
+/// that qualify. A replica that qualifies takes precedence over the primary, whose
+/// slots are the only ones that can serve writes.
 pub fn choose_database<'a>(
     query: &RouteQuery<'_>,
     databases: impl Iterator<Item = &'a DatabaseView>,
@@ -69,12 +69,12 @@
     if let Some((_, view)) = replica {
         return DatabaseChoice::Use(view.record.database.clone());
     }
-    // A read for which replicas are merely busy waits for them, unless the
-    // wait is long and the primary has slots to spare.
+    // A read waits while the replicas that qualify are busy, unless the wait is
+    // long and the primary is lightly loaded.
     let usable = primary.filter(|view| {
-        let spares = query.offload_to_primary && view.is_lightly_loaded();
-        let spares = spares || !replica_qualifies;
-        view.is_available(query.now, query.transaction) && spares
+        let may_offload = query.offload_to_primary && view.is_lightly_loaded();
+        let may_serve = may_offload || !replica_qualifies;
+        view.is_available(query.now, query.transaction) && may_serve
     });
     match usable {
         Some(view) => DatabaseChoice::Use(view.record.database.clone()),
@@ -85,18 +85,18 @@
 fn cost(query: &RouteQuery<'_>, view: &DatabaseView) -> u64 {
     let distance = match view.record.data_centre == *query.data_centre {
         true => 0,
-        false => DISTANCE_COST_US,
+        false => REMOTE_COST_US,
     };
     view.expected_completion_us() + distance
 }
 
 fn qualifies(query: &RouteQuery<'_>, view: &DatabaseView) -> bool {
-    let (Some(mark), Some(observed)) = (query.position, view.observed.as_ref()) else {
+    let (Some(position), Some(observed)) = (query.position, view.observed.as_ref()) else {
         return false;
     };
     let status = &observed.status;
     let in_term = status.term == query.term && status.role == DatabaseRole::Replica;
-    if !view.record.accepts_work() || !in_term || !status.covers(mark) {
+    if !view.record.accepts_work() || !in_term || !status.covers(position) {
         return false;
     }
     match query.kind {
--- a/crates/decisions/tests/fair_queue.rs
+++ b/crates/decisions/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Callers share a queue evenly, however many requests each has.
+//! Callers share a queue evenly, regardless of how many requests each has.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -30,8 +30,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// While lanes are not empty, no caller is served more than one request
-    /// more than another; nothing is lost or served twice.
+    /// While every lane has requests, no caller is served more than one request more
+    /// than another; no request is lost or served twice.
     #[test]
     fn even_turns(lengths in prop::collection::vec(1_usize..30, 2..6)) {
         let mut queue = FairQueue::default();
--- a/crates/decisions/tests/read_choice.rs
+++ b/crates/decisions/tests/read_choice.rs
@@ -1,4 +1,4 @@
-//! Which database a read goes to.
+//! Choice of the database for a read.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -35,7 +35,7 @@
     view
 }
 
-/// A primary at 10 and two replicas, one level and one behind.
+/// A primary whose log ends at offset 10, and two replicas: one up to date, one behind.
 fn views() -> Vec<DatabaseView> {
     vec![
         view("primary", DatabaseRole::Primary, 10),
@@ -44,20 +44,20 @@
     ]
 }
 
-struct Ask {
+struct ReadCase {
     kind: RequestKind,
-    mark: Option<LogPosition>,
-    crowded: bool,
+    position: Option<LogPosition>,
+    offload_to_primary: bool,
     samples: PrimarySamples,
 }
 
-impl Ask {
-    fn new(kind: RequestKind, mark: Option<u64>) -> Self {
+impl ReadCase {
+    fn new(kind: RequestKind, position: Option<u64>) -> Self {
         let mut samples = PrimarySamples::default();
         samples.record(Moment::from_millis(9_000), LogPosition::new(1, 6));
         samples.record(Moment::from_millis(9_900), LogPosition::new(1, 10));
-        let mark = mark.map(|offset| LogPosition::new(1, offset));
-        Self { kind, mark, crowded: false, samples }
+        let position = position.map(|offset| LogPosition::new(1, offset));
+        Self { kind, position, offload_to_primary: false, samples }
     }
 
     fn choose(&self, views: &[DatabaseView]) -> Option<String> {
@@ -66,9 +66,9 @@
         let query = RouteQuery {
             now: NOW,
             kind: self.kind,
-            offload_to_primary: self.crowded,
+            offload_to_primary: self.offload_to_primary,
             transaction: false,
-            position: self.mark,
+            position: self.position,
             primary: Some(&primary),
             term: 1,
             data_centre: &data_centre,
@@ -83,26 +83,29 @@
 
 #[test]
 fn writes_at_primary() {
-    assert_eq!(Ask::new(RequestKind::Write, Some(0)).choose(&views()).as_deref(), Some("primary"));
+    assert_eq!(
+        ReadCase::new(RequestKind::Write, Some(0)).choose(&views()).as_deref(),
+        Some("primary")
+    );
 }
 
 #[test]
-fn marks_are_held() {
-    let read = |mark| Ask::new(RequestKind::SessionRead, mark).choose(&views());
+fn position_is_held() {
+    let read = |position| ReadCase::new(RequestKind::SessionRead, position).choose(&views());
     assert_eq!(read(Some(8)).as_deref(), Some("level"));
     assert_eq!(read(Some(11)).as_deref(), Some("primary"), "no replica holds entry 11");
-    assert_eq!(read(None).as_deref(), Some("primary"), "an unknown mark goes to the primary");
+    assert_eq!(read(None).as_deref(), Some("primary"), "an unknown position goes to the primary");
 }
 
 #[test]
-fn stated_age() {
+fn bounded_staleness() {
     let behind =
         [view("primary", DatabaseRole::Primary, 10), view("behind", DatabaseRole::Replica, 6)];
     let read = |millis| {
         let kind = RequestKind::BoundedStaleness(Duration::from_millis(millis));
-        Ask::new(kind, Some(0)).choose(&behind)
+        ReadCase::new(kind, Some(0)).choose(&behind)
     };
-    assert_eq!(read(1_100).as_deref(), Some("behind"), "it is 1 s old");
+    assert_eq!(read(1_100).as_deref(), Some("behind"), "its data is 1 s old");
     assert_eq!(read(900).as_deref(), Some("primary"));
 }
 
@@ -113,22 +116,30 @@
         view.pending_statements = 2;
         view.in_use = 2;
     }
-    let mut ask = Ask::new(RequestKind::SessionRead, Some(8));
-    assert_eq!(ask.choose(&busy), None, "it waits for the replica");
-    ask.crowded = true;
-    assert_eq!(ask.choose(&busy).as_deref(), Some("primary"), "the primary helps out");
+    let mut read = ReadCase::new(RequestKind::SessionRead, Some(8));
+    assert_eq!(read.choose(&busy), None, "it waits for a replica");
+    read.offload_to_primary = true;
+    assert_eq!(read.choose(&busy).as_deref(), Some("primary"), "the primary serves it instead");
     busy[0].pending_statements = 1;
-    assert_eq!(ask.choose(&busy), None, "the rest of the primary is for writes");
+    assert_eq!(read.choose(&busy), None, "the remaining slots of the primary are for writes");
 }
 
 #[test]
 fn ejected_and_draining() {
-    let mut few = views();
+    let mut databases = views();
     for _ in 0..3 {
-        few[1].record_failure(NOW);
+        databases[1].record_failure(NOW);
     }
-    let ask = Ask::new(RequestKind::SessionRead, Some(6));
-    assert_eq!(ask.choose(&few).as_deref(), Some("behind"), "one that kept failing is left out");
-    few[2].record.standing = MemberStanding::Draining;
-    assert_ne!(ask.choose(&few).as_deref(), Some("behind"), "a draining one gets no new work");
+    let read = ReadCase::new(RequestKind::SessionRead, Some(6));
+    assert_eq!(
+        read.choose(&databases).as_deref(),
+        Some("behind"),
+        "a database with consecutive failures is ejected"
+    );
+    databases[2].record.standing = MemberStanding::Draining;
+    assert_ne!(
+        read.choose(&databases).as_deref(),
+        Some("behind"),
+        "a draining database gets no new requests"
+    );
 }
