--- a/crates/decisions/src/positions/mod.rs
+++ b/crates/decisions/src/positions/mod.rs
@@ -1,4 +1,4 @@
-//! Log positions, branches of the log, and what a database holds.
+//! Log positions, branches of the log, and which positions a database holds.
 
 mod branch_history;
 mod log_position;
--- a/crates/decisions/src/positions/primary_samples.rs
+++ b/crates/decisions/src/positions/primary_samples.rs
@@ -3,16 +3,17 @@
 use super::{BranchHistory, LogPosition};
 use crate::clock::Moment;
 
-/// How long samples of the primary are kept.
+/// Time for which samples are kept.
 const SAMPLE_RETENTION: Duration = Duration::from_secs(120);
-/// Shortest distance between two kept samples.
+/// Shortest time between two kept samples.
 const SAMPLE_SPACING: Duration = Duration::from_millis(20);
 
-/// Positions seen at the primary, each with the moment its request was sent.
+/// Positions that the primary reported, each with the time at which the request for
+/// it was sent.
 ///
-/// A replica that holds a sampled position held everything the primary had
-/// when that sample's request was sent, so its age is counted on the
-/// observer's clock alone.
+/// A replica that holds a sampled position holds everything that the primary had
+/// when that request was sent, so the age of its data is measured by the observer's
+/// clock alone.
 #[derive(Debug, Default)]
 pub struct PrimarySamples {
     samples: VecDeque<(Moment, LogPosition)>,
@@ -20,7 +21,7 @@
 
 impl PrimarySamples {
     /// Records a position that the primary reported to a request sent at
-    /// `sent_at`. Samples out of order are ignored.
+    /// `sent_at`. Samples that are out of order are ignored.
     pub fn record(&mut self, sent_at: Moment, position: LogPosition) {
         if let Some((last, last_position)) = self.samples.back_mut() {
             if sent_at < *last {
@@ -43,17 +44,17 @@
         }
     }
 
-    /// The latest moment at which the primary had nothing that a database at
-    /// `held` lacks.
-    pub fn fresh_as_of(&self, history: &BranchHistory, held: LogPosition) -> Option<Moment> {
+    /// The latest sampled time at which the primary held nothing that a database whose
+    /// log ends at `log_end` lacks.
+    pub fn fresh_as_of(&self, history: &BranchHistory, log_end: LogPosition) -> Option<Moment> {
         self.samples
             .iter()
             .rev()
-            .find(|(_, position)| history.covers(held, *position))
+            .find(|(_, position)| history.covers(log_end, *position))
             .map(|(sent_at, _)| *sent_at)
     }
 
-    /// Forgets all samples, at a change of primary.
+    /// Removes all samples, after a change of primary.
     pub fn clear(&mut self) {
         self.samples.clear();
     }
--- a/crates/decisions/src/sessions/mod.rs
+++ b/crates/decisions/src/sessions/mod.rs
@@ -1,4 +1,4 @@
-//! Sessions: tokens, positions and the hosts that store positions.
+//! Sessions: their tokens, their positions and the hosts that store these.
 
 mod position_hosts;
 mod position_store;
--- a/crates/decisions/src/sessions/position_hosts.rs
+++ b/crates/decisions/src/sessions/position_hosts.rs
@@ -2,10 +2,10 @@
 
 use crate::identity::{HostId, SessionId};
 
-/// Hosts that store each session's position.
+/// Number of hosts that store each session's positions.
 pub const POSITION_HOST_COUNT: usize = 2;
 
-/// A host's rank for a key by rendezvous hash; the highest win.
+/// A host's score for a key in rendezvous hashing; the highest scores win.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RendezvousScore(u64);
 
@@ -16,9 +16,9 @@
     }
 }
 
-/// Orders hosts by rendezvous hash for `key`, best first.
+/// Orders hosts by their rendezvous scores for `key`, highest first.
 ///
-/// Adding or removing a host moves only the keys that it wins or held.
+/// Adding or removing a host moves only the keys that it gains or loses.
 pub fn rank_hosts(key: &[u8], hosts: impl IntoIterator<Item = HostId>) -> Vec<HostId> {
     let mut ranked: Vec<(RendezvousScore, HostId)> =
         hosts.into_iter().map(|host| (RendezvousScore::of(key, host), host)).collect();
@@ -26,7 +26,7 @@
     ranked.into_iter().map(|(_, host)| host).collect()
 }
 
-/// The hosts that store the positions of `session`.
+/// The hosts that store the positions of `session`, chosen among `hosts`.
 pub fn session_position_hosts(
     session: &SessionId,
     hosts: impl IntoIterator<Item = HostId>,
--- a/crates/decisions/src/sessions/session_token.rs
+++ b/crates/decisions/src/sessions/session_token.rs
@@ -12,16 +12,16 @@
 const TAG_BYTES: usize = 16;
 /// Longest accepted token text, in bytes.
 const MAX_TOKEN_BYTES: usize = 256;
-/// First field of every token; names the layout.
+/// First field of every token; identifies the format.
 const TOKEN_VERSION: &str = "hs1";
 
-/// Why a token was refused.
+/// Reason why a token is not valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum TokenError {
-    /// The text is not a token.
+    /// The text does not have the format of a token.
     #[snafu(display("the text is not a session token"))]
     Malformed,
-    /// The signature does not match: another deployment, or a forgery.
+    /// The signature does not match: the token is from another deployment or forged.
     #[snafu(display("the token was not signed by this deployment"))]
     BadSignature,
     /// The token belongs to another group.
@@ -29,7 +29,7 @@
     OtherGroup,
 }
 
-/// Secret with which a deployment signs its session tokens.
+/// Key with which a deployment signs its session tokens.
 #[derive(Clone)]
 pub struct TokenKey([u8; 32]);
 
@@ -47,10 +47,10 @@
     }
 }
 
-/// The position a session must see in one group, as handed to its caller.
+/// The position that a session must see in one group, as given to its caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionToken {
-    /// The session that the token speaks for.
+    /// The session for which the token was issued.
     pub session: SessionId,
     /// The group that the position belongs to.
     pub group: GroupName,
@@ -62,10 +62,10 @@
 impl SessionToken {
     /// Text form: `hs1~SESSION~GROUP~TERM~OFFSET~TAG`, at most 256 bytes.
     pub fn encode(&self, key: &TokenKey) -> String {
-        let mark = self.position;
+        let position = self.position;
         let mut text = format!(
             "{TOKEN_VERSION}~{}~{}~{:x}~{:x}",
-            self.session, self.group, mark.term, mark.offset
+            self.session, self.group, position.term, position.offset
         );
         let tag = key.tag(&text);
         text.push('~');
@@ -75,10 +75,11 @@
         text
     }
 
-    /// Reads a token for `group` and checks its signature.
+    /// Parses a token for `group` and checks its signature.
     ///
     /// # Errors
-    /// `TokenError` names what is wrong; the session is not changed.
+    /// `TokenError` if the text is no token, is not signed with `key` or belongs to
+    /// another group.
     pub fn decode(text: &str, key: &TokenKey, group: &GroupName) -> Result<Self, TokenError> {
         if text.len() > MAX_TOKEN_BYTES {
             return Err(TokenError::Malformed);
--- a/crates/decisions/tests/branch_cover.rs
+++ b/crates/decisions/tests/branch_cover.rs
@@ -1,4 +1,4 @@
-//! Which log positions a database holds, over changes of primary.
+//! Which log positions a database holds after changes of primary.
 
 use hawthornstack_decisions::positions::{BranchHistory, BranchStart, LogPosition};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -12,25 +12,25 @@
 #[test]
 fn discarded_tail() {
     let after_change = history(&[(1, 0), (2, 10)]);
-    let held = LogPosition::new(2, 20);
-    assert!(after_change.covers(held, LogPosition::new(1, 10)));
+    let log_end = LogPosition::new(2, 20);
+    assert!(after_change.covers(log_end, LogPosition::new(1, 10)));
     assert!(
-        !after_change.covers(held, LogPosition::new(1, 11)),
+        !after_change.covers(log_end, LogPosition::new(1, 11)),
         "entry 11 of term 1 was discarded"
     );
-    assert!(after_change.covers(held, LogPosition::new(2, 11)));
-    assert!(!after_change.covers(held, LogPosition::new(2, 10)), "entry 10 is of term 1");
+    assert!(after_change.covers(log_end, LogPosition::new(2, 11)));
+    assert!(!after_change.covers(log_end, LogPosition::new(2, 10)), "entry 10 is of term 1");
 }
 
 #[test]
 fn lagging_replica() {
     let joined = history(&[(1, 0), (2, 10)]);
-    let held = LogPosition::new(2, 4);
-    assert!(joined.covers(held, LogPosition::new(1, 4)));
-    assert!(!joined.covers(held, LogPosition::new(1, 9)), "it has not received entry 9 yet");
+    let log_end = LogPosition::new(2, 4);
+    assert!(joined.covers(log_end, LogPosition::new(1, 4)));
+    assert!(!joined.covers(log_end, LogPosition::new(1, 9)), "it has not received entry 9 yet");
 }
 
-/// A log as the terms of its entries, for comparison entry by entry.
+/// The term of each entry of a log, for comparison entry by entry.
 fn log_of(starts: &[(u64, u64)], length: u64) -> Vec<u64> {
     (1..=length)
         .map(|offset| {
@@ -40,8 +40,8 @@
         .collect()
 }
 
-/// A replica that follows term 3 but lacks its entries ends in term 1: by its
-/// end alone it must not rank before a database that holds more.
+/// A replica that follows term 3 but lacks its entries ends in an older term, so that
+/// the end of its log does not rank above that of a database that holds more.
 #[test]
 fn end_of_log() {
     let joined = history(&[(1, 0), (2, 73), (3, 134)]);
@@ -52,7 +52,8 @@
     assert!(joined.position_at(124) < joined.position_at(134));
 }
 
-/// A replica that never received an entry of term 4 is promoted to term 5.
+/// A replica that never received an entry of term 4 is promoted in term 5. Its log
+/// must not claim entries of term 4.
 #[test]
 fn unheld_term_dropped() {
     let mut joined = history(&[(1, 0), (3, 75), (4, 93)]);
@@ -65,7 +66,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// `covers` agrees with looking for the entry in the log itself.
+    /// `covers` agrees with a search for the entry in the log.
     #[test]
     fn agrees_with_log(
         gaps in prop::collection::vec(0_u64..6, 1..5),
@@ -79,9 +80,10 @@
             starts.push((index as u64 + 1, base));
             base += gap;
         }
-        let held = history(&starts).position_at(length);
+        let log_end = history(&starts).position_at(length);
         let log = log_of(&starts, length);
-        let stands = log.get(offset as usize - 1) == Some(&term);
-        prop_assert_eq!(history(&starts).covers(held, LogPosition::new(term, offset)), stands);
+        let is_in_log = log.get(offset as usize - 1) == Some(&term);
+        let covered = history(&starts).covers(log_end, LogPosition::new(term, offset));
+        prop_assert_eq!(covered, is_in_log);
     }
 }
--- a/crates/decisions/tests/mark_keepers.rs
+++ b/crates/decisions/tests/position_hosts.rs
@@ -1,4 +1,4 @@
-//! Which marks outlive a change of the set of hosts.
+//! Which stored positions are kept when a host joins or leaves.
 
 use std::collections::BTreeSet;
 
@@ -20,9 +20,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// A mark is kept exactly if the session's keepers stay the same.
+    /// A position is kept exactly if the session's position hosts stay the same.
     #[test]
-    fn kept_if_unmoved(
+    fn kept_if_position_hosts_unchanged(
         hosts in prop::collection::btree_set(0_u32..40, 3..12),
         changed in 0_u32..40,
         sessions in prop::collection::btree_set(0_u32..1_000, 1..40),
@@ -34,16 +34,16 @@
         }
         let mut store = PositionStore::default();
         for session in &sessions {
-            let mark = stored(*session);
-            let keepers = session_position_hosts(&mark.session, before.iter().copied());
-            store.raise(mark, &keepers);
+            let position = stored(*session);
+            let position_hosts = session_position_hosts(&position.session, before.iter().copied());
+            store.raise(position, &position_hosts);
         }
         store.remove_moved(HostId(changed));
         for session in &sessions {
-            let mark = stored(*session);
-            let same = session_position_hosts(&mark.session, before.iter().copied())
-                == session_position_hosts(&mark.session, after.iter().copied());
-            prop_assert_eq!(store.find(&mark.session, &mark.group).is_some(), same);
+            let position = stored(*session);
+            let same = session_position_hosts(&position.session, before.iter().copied())
+                == session_position_hosts(&position.session, after.iter().copied());
+            prop_assert_eq!(store.find(&position.session, &position.group).is_some(), same);
         }
     }
 }
--- a/crates/decisions/tests/session_tokens.rs
+++ b/crates/decisions/tests/session_tokens.rs
@@ -1,4 +1,4 @@
-//! Session tokens: what is accepted and what is refused.
+//! Which session tokens are accepted and which are refused.
 
 use hawthornstack_decisions::{
     identity::{GroupName, SessionId},
@@ -7,11 +7,11 @@
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 
-fn token(mark: LogPosition) -> SessionToken {
+fn token(position: LogPosition) -> SessionToken {
     SessionToken {
         session: SessionId::new("worker-7").unwrap(),
         group: GroupName::new("shiftbook.1").unwrap(),
-        position: mark,
+        position,
     }
 }
 
@@ -34,7 +34,7 @@
     assert_eq!(SessionToken::decode(&text, &key, &other_group), Err(TokenError::OtherGroup));
 }
 
-/// A sign is no hexadecimal digit, though number parsers take one.
+/// A sign is not a hexadecimal digit, although number parsers accept one.
 #[test]
 fn sign_refused() {
     let key = TokenKey::derive("a secret of this test");
@@ -59,16 +59,16 @@
     }
 
     #[test]
-    fn changed_byte_refused(place in 0_usize..60, byte in 33_u8..126) {
+    fn changed_byte_refused(index in 0_usize..60, byte in 33_u8..126) {
         let key = TokenKey::derive("a secret of this test");
         let sent = token(LogPosition::new(3, 901));
         let text = sent.encode(&key);
         let mut bytes = text.clone().into_bytes();
-        let place = place % bytes.len();
-        prop_assume!(bytes[place] != byte);
-        bytes[place] = byte;
+        let index = index % bytes.len();
+        prop_assume!(bytes[index] != byte);
+        bytes[index] = byte;
         let changed = String::from_utf8(bytes).unwrap();
-        // A hexadecimal digit may change its case without changing its value.
+        // A hexadecimal digit in the other case has the same value.
         prop_assume!(changed.to_lowercase() != text.to_lowercase());
         prop_assert!(SessionToken::decode(&changed, &key, &sent.group).is_err());
     }
