--- a/crates/decisions/src/clock/mod.rs
+++ b/crates/decisions/src/clock/mod.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as the decisions see it.
+//! Monotonic time, which callers pass in: nothing in this crate reads a clock.
 
 mod moment;
 
--- a/crates/decisions/src/clock/moment.rs
+++ b/crates/decisions/src/clock/moment.rs
@@ -7,7 +7,7 @@
 
 /// A point on one host's monotonic clock, in microseconds since its start.
 ///
-/// Moments of different hosts are never compared.
+/// Moments of different hosts are not comparable.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
--- a/crates/decisions/src/identity/names.rs
+++ b/crates/decisions/src/identity/names.rs
@@ -6,7 +6,7 @@
 /// Longest accepted name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Why a name was refused.
+/// Reason why a name is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum NameError {
     /// The name holds no character.
@@ -21,12 +21,12 @@
     /// The name holds a character outside letters, digits, `-`, `_`, `.`, `:`.
     #[snafu(display("the name holds {found:?}; use letters, digits, '-', '_', '.' and ':'"))]
     BadCharacter {
-        /// The refused character.
+        /// The first character that is not allowed.
         found: char,
     },
 }
 
-fn check(text: &str) -> Result<(), NameError> {
+fn check_name(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
     }
@@ -49,13 +49,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks the text and keeps it.
+            /// Builds a name from a valid text.
             ///
             /// # Errors
-            /// `NameError` if the text is empty, too long or holds a refused
-            /// character.
+            /// `NameError` if the text is empty, too long or holds a character that
+            /// is not allowed.
             pub fn new(text: &str) -> Result<Self, NameError> {
-                check(text).map(|()| Self(Arc::from(text)))
+                check_name(text).map(|()| Self(Arc::from(text)))
             }
 
             /// The text of the name.
@@ -68,7 +68,7 @@
             type Error = NameError;
 
             fn try_from(text: Arc<str>) -> Result<Self, NameError> {
-                check(&text).map(|()| Self(text))
+                check_name(&text).map(|()| Self(text))
             }
         }
 
@@ -81,12 +81,12 @@
 }
 
 checked_name! {
-    /// Name of a database group: `SERVICE.INSTANCE`, as a caller gives it for
-    /// the database name.
+    /// Name of a database group: `SERVICE.INSTANCE`, which callers give as the
+    /// database name.
     GroupName
 }
 checked_name! {
-    /// Name of one upstream database, unique over all groups.
+    /// Name of one upstream database, unique across all groups.
     DatabaseName
 }
 checked_name! {
@@ -94,6 +94,6 @@
     DataCentre
 }
 checked_name! {
-    /// Identity of a caller's session, chosen by the caller or by the proxy.
+    /// Identifier of a caller's session, chosen by the caller or by the proxy.
     SessionId
 }
--- a/crates/decisions/src/outcomes/mod.rs
+++ b/crates/decisions/src/outcomes/mod.rs
@@ -1,4 +1,4 @@
-//! What became of a request, and the numbered result codes.
+//! Outcomes of requests, and the numbered result codes.
 
 mod outcome;
 mod result_code;
--- a/crates/decisions/src/statements/caller_setting.rs
+++ b/crates/decisions/src/statements/caller_setting.rs
@@ -4,43 +4,43 @@
 
 use crate::identity::SessionId;
 
-/// Prefix of every setting that a caller may give.
+/// Prefix of all settings that callers may give.
 pub const SETTING_PREFIX: &str = "hawthornstack.";
 /// Longest accepted request key, in bytes.
 const MAX_REQUEST_KEY_BYTES: usize = 128;
 /// Longest accepted statement timeout.
 const MAX_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Why a setting was refused; nothing is changed.
+/// Reason why a setting is not valid; nothing is changed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{SETTING_PREFIX}{name}: {reason}"))]
 pub struct SettingError {
     /// Name without the prefix.
     pub name: String,
-    /// What is wrong and how to mend it.
+    /// What is wrong and how to correct it.
     pub reason: String,
 }
 
-/// One setting of a caller, checked.
+/// A caller's setting with a valid value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerSetting {
-    /// `max_age`: age that reads accept; `None` asks for session reads.
+    /// `max_age`: maximum age of the data that reads accept; `None` for session reads.
     MaxAge(Option<Duration>),
-    /// `session`: identity under which positions are stored.
+    /// `session`: identifier under which positions are stored.
     Session(SessionId),
-    /// `request_key`: identity of the next write; `None` clears it.
+    /// `request_key`: key that identifies the next write; `None` clears it.
     RequestKey(Option<Arc<str>>),
     /// `token`: a session token received earlier.
     Token(Arc<str>),
-    /// `timeout`: time within which a statement must be answered.
+    /// `timeout`: time limit for the answer to a statement.
     Timeout(Duration),
 }
 
 impl CallerSetting {
-    /// Reads a setting; `name` is given without the prefix.
+    /// Parses a setting; `name` is given without the prefix.
     ///
     /// # Errors
-    /// `SettingError` with the reason and the mend.
+    /// `SettingError` with the reason and the correction.
     pub fn parse(name: &str, value: &str) -> Result<Self, SettingError> {
         let refuse = |reason: String| SettingError { name: name.to_owned(), reason };
         match name {
@@ -69,17 +69,17 @@
     }
 }
 
-/// Reads a duration with its unit: `250ms`, `5s`, `2min`.
+/// Parses a duration with its unit: `250ms`, `5s`, `2min`.
 fn parse_duration(text: &str) -> Result<Duration, String> {
-    let mend = || format!("{text:?} is not a duration; write it with a unit: 250ms, 5s or 2min");
-    let split = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(mend)?;
+    let invalid = || format!("{text:?} is not a duration; write it with a unit: 250ms, 5s or 2min");
+    let split = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(invalid)?;
     let (digits, unit) = text.split_at(split);
-    let count: u64 = digits.parse().map_err(|_| mend())?;
+    let count: u64 = digits.parse().map_err(|_| invalid())?;
     let millis = match unit {
         "ms" => Some(count),
         "s" => count.checked_mul(1_000),
         "min" => count.checked_mul(60_000),
         _ => None,
     };
-    millis.map(Duration::from_millis).ok_or_else(mend)
+    millis.map(Duration::from_millis).ok_or_else(invalid)
 }
--- a/crates/decisions/src/statements/classifier.rs
+++ b/crates/decisions/src/statements/classifier.rs
@@ -15,14 +15,14 @@
     pub value: String,
 }
 
-/// What a caller's text does, as far as routing cares.
+/// Class of a caller's text, by which it is routed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StatementClass {
-    /// No statement.
+    /// The text holds no statement.
     Empty,
-    /// Certainly changes nothing; any database that is fresh enough serves it.
+    /// Cannot change data; any database that is fresh enough may serve it.
     Read,
-    /// Changes data, or may.
+    /// Changes data, or may change it.
     Write,
     /// Opens a transaction.
     Begin {
@@ -31,7 +31,7 @@
     },
     /// Commits the open transaction.
     Commit,
-    /// Rolls the open transaction back, wholly.
+    /// Rolls back the whole open transaction.
     Rollback,
     /// Sets a session setting.
     Set(SetAssignment),
@@ -42,8 +42,8 @@
     Unsupported,
 }
 
-/// Classifies a text of one or more statements. A text that the parser does
-/// not understand counts as a write.
+/// Classifies a text of one or more statements. A text that the parser rejects
+/// counts as a write, unless it is clearly unsupported.
 pub fn classify(sql: &str) -> StatementClass {
     let Ok(statements) = Parser::parse_sql(&PostgreSqlDialect {}, sql) else {
         return classify_unparsed(sql);
@@ -56,15 +56,15 @@
 }
 
 fn classify_many(statements: &[Statement]) -> StatementClass {
-    let mut joined = StatementClass::Read;
+    let mut combined = StatementClass::Read;
     for statement in statements {
         match classify_one(statement) {
             StatementClass::Read => {}
-            StatementClass::Write => joined = StatementClass::Write,
+            StatementClass::Write => combined = StatementClass::Write,
             _ => return StatementClass::Unsupported,
         }
     }
-    joined
+    combined
 }
 
 fn classify_one(statement: &Statement) -> StatementClass {
@@ -108,7 +108,7 @@
             };
             StatementClass::Set(SetAssignment {
                 name: variable.to_string().to_lowercase(),
-                value: setting_text(value),
+                value: setting_value(value),
             })
         }
         Set::SetNames { charset_name, .. } => StatementClass::Set(SetAssignment {
@@ -119,15 +119,15 @@
     }
 }
 
-fn setting_text(value: &Expr) -> String {
+fn setting_value(value: &Expr) -> String {
     match value {
         Expr::Value(ValueWithSpan { value: Value::SingleQuotedString(text), .. }) => text.clone(),
         other => other.to_string(),
     }
 }
 
-/// A text outside the parser's grammar is a write, unless its first word shows
-/// that it would leave state on the connection.
+/// Classifies a text that the parser rejects as a write, unless its first word shows
+/// that it would leave state on the connection or controls a transaction.
 fn classify_unparsed(sql: &str) -> StatementClass {
     let first = sql.split_whitespace().next().unwrap_or_default().to_lowercase();
     match first.as_str() {
--- a/crates/decisions/src/statements/mod.rs
+++ b/crates/decisions/src/statements/mod.rs
@@ -1,4 +1,4 @@
-//! Reading callers' statements: what they do, and which settings they carry.
+//! Parsing of callers' statements: their class for routing, and the settings in them.
 
 mod caller_setting;
 mod classifier;
--- a/crates/decisions/src/statements/read_check.rs
+++ b/crates/decisions/src/statements/read_check.rs
@@ -4,7 +4,7 @@
     Expr, ObjectName, Query, Select, SetExpr, Statement, TableFactor, Visit, Visitor,
 };
 
-/// Functions that read their arguments and nothing else.
+/// Functions without side effects.
 const PURE_FUNCTIONS: &[&str] = &[
     "abs",
     "array_agg",
@@ -59,7 +59,7 @@
     statement.visit(&mut WriteFinder).is_continue()
 }
 
-/// Stops at the first thing that is not certainly a read.
+/// Visitor that stops at the first construct that may change data or take a lock.
 struct WriteFinder;
 
 impl WriteFinder {
--- a/crates/decisions/tests/statement_classes.rs
+++ b/crates/decisions/tests/statement_classes.rs
@@ -1,4 +1,4 @@
-//! Telling reads from writes, and reading callers' settings.
+//! Classification of statements, and parsing of callers' settings.
 
 use hawthornstack_decisions::statements::{CallerSetting, StatementClass, classify, read_hints};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn doubtful_are_writes() {
+fn possible_writes() {
     for sql in [
         "INSERT INTO t VALUES (1)",
         "SELECT * FROM t FOR UPDATE",
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn lasting_state_refused() {
+fn session_state_is_unsupported() {
     for sql in [
         "PREPARE p AS SELECT 1",
         "LISTEN c",
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn hints_lead() {
+fn leading_hints() {
     let sql = "/* hawthornstack: max_age=5s request_key=k-1 */ SELECT 1";
     assert_eq!(
         read_hints(sql).unwrap(),
@@ -85,13 +85,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_000, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// No text makes the reader panic, and none that names a writing verb
-    /// counts as a read.
+    /// No text makes the parsers panic, and no text that starts with a verb that
+    /// writes is classified as a read.
     #[test]
     fn any_text(text in "\\PC{0,80}", verb in "(INSERT INTO|UPDATE|DELETE FROM|DROP TABLE)") {
         let _ = classify(&text);
         let _ = read_hints(&text);
-        let writing = format!("{verb} {text}");
-        prop_assert_ne!(classify(&writing), StatementClass::Read);
+        let write = format!("{verb} {text}");
+        prop_assert_ne!(classify(&write), StatementClass::Read);
     }
 }
