--- a/crates/decisions/src/sessions/session_token.rs
+++ b/crates/decisions/src/sessions/session_token.rs
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// `TokenError` if the text is no token, is not signed with `key` or belongs to
-    /// another group.
+    /// another group; the caller's session stays unchanged.
     pub fn decode(text: &str, key: &TokenKey, group: &GroupName) -> Result<Self, TokenError> {
         if text.len() > MAX_TOKEN_BYTES {
             return Err(TokenError::Malformed);
