--- a/crates/decisions/src/agreement/agreement_effect.rs
+++ b/crates/decisions/src/agreement/agreement_effect.rs
@@ -1,39 +1,40 @@
 use super::{AgreementMessage, EntryPayload, JournalRecord, StateSnapshot};
 use crate::identity::HostId;
 
-/// Input of the agreement.
+/// An input of [`AgreementState::step`](super::AgreementState::step).
 #[derive(Debug, Clone)]
 pub enum AgreementEvent {
-    /// Time passed.
+    /// A timer may have expired.
     Tick,
-    /// A voter sent a message.
+    /// A message arrived from this voter or learner.
     Received(HostId, AgreementMessage),
-    /// All records up to this persist number are synced.
+    /// The journal has synced all records up to this persist number.
     Persisted(u64),
 }
 
-/// Output of the agreement, in the order in which it must be carried out.
+/// An output of the agreement; effects must be executed in the order given.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgreementEffect {
-    /// Send a message to a voter.
+    /// Send a message to a voter or learner.
     Send(HostId, AgreementMessage),
-    /// Append the records to the journal, sync, then report the number.
+    /// Append the records to the journal, sync it, then report the number with
+    /// [`AgreementEvent::Persisted`].
     Persist {
-        /// Number to report back.
+        /// Persist number, one higher for each batch.
         number: u64,
-        /// Records in order.
+        /// Records in the order of the journal.
         records: Vec<JournalRecord>,
     },
-    /// An entry is committed; comes once each, in order.
+    /// An entry is committed; reported once per entry, in log order.
     Committed {
-        /// Index of the entry.
+        /// Log index of the entry.
         index: u64,
-        /// What it carries.
+        /// Content of the entry.
         payload: EntryPayload,
     },
-    /// The configuration is replaced by a snapshot.
+    /// A snapshot from the leader replaces the replicated state.
     Installed(Box<StateSnapshot>),
-    /// This host became leader of the term.
+    /// This host became leader of this term.
     Elected(u64),
     /// This host is no longer leader.
     SteppedDown,
--- a/crates/decisions/src/agreement/agreement_message.rs
+++ b/crates/decisions/src/agreement/agreement_message.rs
@@ -5,103 +5,105 @@
 use super::{LogEntry, StateSnapshot};
 use crate::{clock::Moment, identity::HostId};
 
-/// Asks for a vote, or whether one would be given.
+/// Requests a vote, or asks in a pre-vote whether it would be granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteRequest {
-    /// Only ask; the voter's term does not change.
+    /// Pre-vote: the voter answers without changing its term or vote.
     pub pre_vote: bool,
-    /// The candidate's disk is empty and no group of voters is known to it.
+    /// The candidate has an empty disk and knows of no existing group of voters.
     pub forming: bool,
-    /// Term that the candidate wants to lead.
+    /// Term in which the candidate would lead.
     pub term: u64,
-    /// Last index of the candidate's log.
+    /// Last log index of the candidate.
     pub last_index: u64,
-    /// Term of that entry.
+    /// Term of the entry at `last_index`.
     pub last_term: u64,
 }
 
 /// Answers a [`VoteRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// Answers a pre-vote.
+    /// The reply is to a pre-vote.
     pub pre_vote: bool,
-    /// Term asked for, if granted; the voter's own term if not.
+    /// The requested term if granted, else the voter's current term.
     pub term: u64,
-    /// The vote is given.
+    /// The vote is granted; in a pre-vote, it would be.
     pub granted: bool,
 }
 
-/// Entries from the leader; without entries, a heartbeat.
+/// Entries from the leader; a message without entries is a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendMessage {
     /// The leader's term.
     pub term: u64,
-    /// Index before the first entry.
+    /// Index of the entry before the first one in `entries`.
     pub previous_index: u64,
-    /// Term of that entry.
+    /// Term of the entry at `previous_index`.
     pub previous_term: u64,
-    /// Entries in order.
+    /// Consecutive entries, lowest index first.
     pub entries: Vec<LogEntry>,
     /// The leader's commit index.
     pub commit: u64,
-    /// When the leader sent it, on its own clock; echoed in the reply.
+    /// Send time by the leader's clock; echoed in the reply.
     pub sent_at: Moment,
 }
 
-/// Answers an append or a snapshot.
+/// Answers an [`AppendMessage`] or a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendReply {
     /// The voter's term.
     pub term: u64,
-    /// The entries are in the log and synced.
+    /// The entries are in the voter's log and synced.
     pub accepted: bool,
-    /// If accepted, the last index known to match; else the last index that
-    /// may match.
+    /// If accepted, the last index known to match the leader's log; else the
+    /// last index that may match.
     pub match_index: u64,
-    /// False if the voter's disk was empty and it may not count.
+    /// False while the voter must not count because its disk was empty.
     pub eligible: bool,
-    /// Number of the voter's disk.
+    /// Random id of the voter's disk, see `HardState::incarnation`.
     pub incarnation: u64,
-    /// Echo of the leader's time.
+    /// The leader's send time, echoed.
     pub sent_at: Moment,
 }
 
-/// Answers a voter that has just started.
+/// Answers the inquiry of a voter that has just started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InquiryReply {
-    /// Echo of the question's number.
+    /// Number of the inquiry, echoed.
     pub number: u64,
-    /// The host neither leads nor heard from a leader a moment ago.
+    /// The host does not lead and has heard from no leader within the last
+    /// election timeout.
     pub knows_no_leader: bool,
-    /// The newest voters that it knows of.
+    /// Latest set of voters in the host's log.
     pub voters: BTreeSet<HostId>,
 }
 
-/// Messages between voters.
+/// A message between voters, or between a leader and a learner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgreementMessage {
-    /// Asks for a vote.
+    /// Requests a vote or pre-vote.
     Vote(VoteRequest),
-    /// Answers a vote.
+    /// Answers a vote request.
     VoteReply(VoteReply),
-    /// A voter that has just started asks whether anyone leads.
+    /// A voter that has just started asks whether there is a leader.
     Inquiry {
-        /// Differs at every start.
+        /// Random number, drawn at each start.
         number: u64,
     },
     /// Answers an inquiry.
     InquiryReply(InquiryReply),
-    /// Replicates entries.
+    /// Replicates entries or sends a heartbeat.
     Append(AppendMessage),
     /// Answers an append or a snapshot.
     AppendReply(AppendReply),
-    /// Replaces a log that is too far behind.
+    /// Replaces the log of a follower that needs entries which the leader has
+    /// already compacted.
     InstallSnapshot {
         /// The leader's term.
         term: u64,
-        /// The state and the log position that it stands for.
+        /// Replicated state with its log position.
         snapshot: Box<StateSnapshot>,
-        /// When the leader sent it, on its own clock.
+        /// Send time by the leader's clock; echoed in the reply.
         sent_at: Moment,
     },
 }
--- a/crates/decisions/src/agreement/agreement_state.rs
+++ b/crates/decisions/src/agreement/agreement_state.rs
@@ -9,7 +9,7 @@
 
 use super::{
     AdmittedVoter, AgreementEffect, AgreementEvent, AgreementMessage, EntryLog, EntryPayload,
-    HardState, JournalRecord, LogEntry, StateSnapshot, start_inquiry::StartInquiry,
+    HardState, JournalRecord, LogEntry, StateSnapshot, leader_inquiry::LeaderInquiry,
 };
 use crate::{
     clock::Moment,
@@ -17,54 +17,56 @@
     identity::HostId,
 };
 
-/// Entries kept in memory before a snapshot replaces them, unless the settings
-/// say otherwise.
+/// Default of [`AgreementSettings::compaction_entries`]: log entries kept in
+/// memory before a snapshot replaces them.
 pub const COMPACTION_ENTRIES: usize = 2_048;
-/// Share of the election timeout for which a leader's lease holds; the rest
-/// covers the drift between two hosts' clocks.
-const LEASE_DRIFT_PERCENT: u32 = 90;
+/// Length of a leader's lease as a percentage of the election timeout; the
+/// remainder covers clock drift between two hosts.
+const LEADER_LEASE_PERCENT: u32 = 90;
 
-/// Why a command was not taken.
+/// Why a proposal was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum ProposeError {
-    /// This host does not lead.
-    #[snafu(display("this host does not lead control"))]
+    /// This host is not the leader.
+    #[snafu(display("this host is not the control leader"))]
     NotLeader {
         /// The leader, if known.
         leader: Option<HostId>,
     },
-    /// A change of voters is still under way.
-    #[snafu(display("a change of voters is still under way"))]
+    /// An earlier change of voters is not committed yet, or the new set does
+    /// not differ from the current one by exactly one host.
+    #[snafu(display("an earlier change of voters is not committed yet"))]
     ChangePending,
 }
 
-/// Times and the first voters of the agreement.
+/// Timing, initial voters and log size of the agreement.
 #[derive(Debug, Clone)]
 pub struct AgreementSettings {
-    /// Shortest silence of a leader before an election; the longest is twice
-    /// this.
+    /// Shortest silence of a leader before an election. The actual timeout is
+    /// drawn at random between this value and twice this value.
     pub election_timeout: Duration,
-    /// Time between a leader's heartbeats.
+    /// Interval of a leader's heartbeats.
     pub heartbeat_interval: Duration,
-    /// Voters of a deployment that is formed for the first time.
+    /// Voters of a deployment that is formed for the first time. A leader keeps
+    /// replicating to them after they are removed from the voters.
     pub first_voters: BTreeSet<HostId>,
-    /// Entries kept in memory before a snapshot replaces them.
+    /// Log entries kept in memory before a snapshot replaces them.
     pub compaction_entries: usize,
-    /// Seed for election timeouts and disk numbers; differs at every start.
+    /// Seed for random timeouts and ids; must differ at every start.
     pub seed: u64,
 }
 
-/// What a leader knows of one voter or learner.
+/// Replication progress of one voter or learner, as its leader knows it.
 #[derive(Debug, Clone)]
 pub(super) struct FollowerProgress {
     pub(super) next_index: u64,
     pub(super) match_index: u64,
     pub(super) eligible: bool,
     pub(super) incarnation: u64,
-    /// Send time of the newest message that was answered.
+    /// Send time of the newest message that the follower has answered.
     pub(super) acknowledged_at: Option<Moment>,
     pub(super) sent_at: Moment,
-    /// When this leader began to follow it.
+    /// When this leader started to replicate to the host.
     pub(super) followed_since: Moment,
 }
 
@@ -73,6 +75,7 @@
     pub(super) followers: BTreeMap<HostId, FollowerProgress>,
     pub(super) elected_at: Moment,
     pub(super) heartbeat_due: Moment,
+    /// Index of the first entry of this leader's term.
     pub(super) first_index: u64,
 }
 
@@ -83,39 +86,46 @@
     Leader(LeaderState),
 }
 
-/// One voter's part in the agreement.
+/// State machine of one host that takes part in the agreement.
 #[derive(Debug)]
 pub struct AgreementState {
     pub(super) me: HostId,
     pub(super) settings: AgreementSettings,
-    pub(super) hard: HardState,
+    pub(super) hard_state: HardState,
     pub(super) log: EntryLog,
     pub(super) commit: u64,
     pub(super) role: AgreementRole,
     pub(super) leader: Option<HostId>,
-    /// Until when it gives no vote: a leader's lease may count on it.
+    /// Time before which this host grants no vote, because a leader's lease may
+    /// rely on it.
     pub(super) abstains_until: Moment,
-    /// A leader was heard since the start.
+    /// A message from a current leader has arrived since the start.
     pub(super) heard_leader: bool,
-    /// Questions after the start, until they are settled.
-    pub(super) inquiry: Option<StartInquiry>,
+    /// Inquiry for a leader after the start, until it is concluded.
+    pub(super) inquiry: Option<LeaderInquiry>,
     pub(super) election_due: Moment,
     pub(super) synced_index: u64,
-    unsynced: VecDeque<(u64, u64)>,
+    /// Persist number and last log index of each batch that is not synced yet.
+    unsynced_batches: VecDeque<(u64, u64)>,
+    /// Number of the newest batch of records.
     persist_number: u64,
+    /// Number of the newest batch known to be synced.
     synced_number: u64,
-    held: VecDeque<(u64, AgreementEffect)>,
+    /// Messages to send once the batch with the given number is synced.
+    pending_sends: VecDeque<(u64, AgreementEffect)>,
+    /// Records that this step adds to the journal.
     records: Vec<JournalRecord>,
     pub(super) effects: Vec<AgreementEffect>,
     rng: ChaCha8Rng,
 }
 
 impl AgreementState {
-    /// Rebuilds a voter from its journal; an empty journal is an empty disk.
+    /// Rebuilds a host's state from its journal; an empty journal stands for an
+    /// empty disk.
     ///
-    /// The voter does not vote for one election timeout after `now`, since it
-    /// may have heard from a leader just before it stopped, unless all voters
-    /// tell it that nobody leads.
+    /// The host grants no vote for one election timeout after `now`, since it
+    /// may have answered a leader just before it stopped. The wait ends early
+    /// if all voters report that there is no leader.
     pub fn restore(
         me: HostId,
         settings: AgreementSettings,
@@ -128,11 +138,11 @@
             voters: settings.first_voters.clone(),
             state: ControlState::default(),
         };
-        let mut hard = HardState::default();
+        let mut hard_state = HardState::default();
         let mut log = EntryLog::new(snapshot);
         for record in journal {
             match record {
-                JournalRecord::Hard(state) => hard = state,
+                JournalRecord::Hard(state) => hard_state = state,
                 JournalRecord::Entry(entry) => log.append(entry),
                 JournalRecord::Snapshot(snapshot) => log.install(*snapshot),
             }
@@ -141,7 +151,7 @@
         let mut state = Self {
             me,
             settings,
-            hard,
+            hard_state,
             commit: log.snapshot().index,
             synced_index: log.last_index(),
             log,
@@ -151,72 +161,75 @@
             heard_leader: false,
             inquiry: None,
             election_due: now,
-            unsynced: VecDeque::new(),
+            unsynced_batches: VecDeque::new(),
             persist_number: 0,
             synced_number: 0,
-            held: VecDeque::new(),
+            pending_sends: VecDeque::new(),
             records: Vec::new(),
             effects: Vec::new(),
             rng,
         };
-        if state.hard.incarnation == 0 {
+        if state.hard_state.incarnation == 0 {
             let incarnation = state.rng.random_range(1..=u64::MAX);
-            state.change_hard(|hard| hard.incarnation = incarnation);
+            state.update_hard_state(|hard| hard.incarnation = incarnation);
         }
-        // Nobody is known to lead: the host asks as soon as it may vote itself.
+        // No leader is known yet, so the host starts its first pre-vote soon
+        // after it may vote itself.
         let spread = state.settings.election_timeout / 4;
         state.abstains_until = now + state.settings.election_timeout;
-        state.election_due = state.abstains_until + state.jittered(spread);
-        if state.hard.eligible && state.log.voters().contains(&me) {
+        state.election_due = state.abstains_until + state.random_timeout(spread);
+        if state.hard_state.eligible && state.log.voters().contains(&me) {
             let number = state.rng.random();
             let voters = state.log.voters().clone();
             let ends_at = state.abstains_until;
-            state.inquiry = Some(StartInquiry::new(me, number, now, ends_at, voters));
+            state.inquiry = Some(LeaderInquiry::new(me, number, now, ends_at, voters));
         }
         state
     }
 
-    /// The configuration at the start of the kept log.
+    /// Replicated state of the snapshot at the start of the log in memory.
     pub fn restored_state(&self) -> &ControlState {
         &self.log.snapshot().state
     }
 
-    /// Takes one event and returns what to do, in order.
+    /// Handles one event and returns the effects to execute, in order.
     pub fn step(&mut self, now: Moment, event: AgreementEvent) -> Vec<AgreementEffect> {
         match event {
             AgreementEvent::Tick => self.tick(now),
-            AgreementEvent::Received(from, message) => self.receive(now, from, message),
-            AgreementEvent::Persisted(number) => self.persisted(now, number),
+            AgreementEvent::Received(from, message) => self.receive_message(now, from, message),
+            AgreementEvent::Persisted(number) => self.mark_persisted(now, number),
         }
-        self.finish()
+        self.take_effects()
     }
 
-    /// Appends a command if this host leads.
+    /// Appends a command to the log and replicates it; returns its index and
+    /// the effects to execute.
     ///
     /// # Errors
-    /// `ProposeError` names the leader, if known.
+    /// `ProposeError::NotLeader` with the leader, if known.
     pub fn propose(
         &mut self,
         now: Moment,
         command: ControlCommand,
     ) -> Result<(u64, Vec<AgreementEffect>), ProposeError> {
-        self.check_leads()?;
-        let index = self.append_own(EntryPayload::Command(command));
+        self.ensure_leader()?;
+        let index = self.append_payload(EntryPayload::Command(command));
         self.replicate(now);
-        Ok((index, self.finish()))
+        Ok((index, self.take_effects()))
     }
 
-    /// Changes the set of voters by one host.
+    /// Proposes a set of voters that adds or removes exactly one host.
     ///
     /// # Errors
-    /// `ProposeError` if this host does not lead or a change is under way.
+    /// `ProposeError` if this host does not lead, an earlier change is not
+    /// committed yet, or the set does not differ by exactly one host.
     pub fn propose_voters(
         &mut self,
         now: Moment,
         voters: BTreeSet<HostId>,
     ) -> Result<Vec<AgreementEffect>, ProposeError> {
         self.change_voters(now, voters)?;
-        Ok(self.finish())
+        Ok(self.take_effects())
     }
 
     pub(super) fn change_voters(
@@ -224,19 +237,20 @@
         now: Moment,
         voters: BTreeSet<HostId>,
     ) -> Result<(), ProposeError> {
-        self.check_leads()?;
-        let settled = self.commit >= self.log.last_voters_index();
-        if !settled || self.log.voters().symmetric_difference(&voters).count() != 1 {
+        self.ensure_leader()?;
+        let last_change_committed = self.commit >= self.log.last_voter_change_index();
+        if !last_change_committed || self.log.voters().symmetric_difference(&voters).count() != 1 {
             return Err(ProposeError::ChangePending);
         }
-        let admitted = self.admission(&voters);
-        self.append_own(EntryPayload::Voters { voters, admitted });
+        let admitted = self.admitted_voter(&voters);
+        self.append_payload(EntryPayload::Voters { voters, admitted });
         self.replicate(now);
         Ok(())
     }
 
-    /// Replaces the log up to `state.applied` by a snapshot once it has grown
-    /// long enough. Effects must be carried out as for a step.
+    /// Replaces the log up to `index` by a snapshot of `state` once the log has
+    /// `compaction_entries` entries. `state` must be the state after `index`.
+    /// Returns the effects to execute, as `step` does.
     pub fn compact(&mut self, state: &ControlState, index: u64) -> Vec<AgreementEffect> {
         if self.log.len() < self.settings.compaction_entries || index > self.commit {
             return Vec::new();
@@ -252,19 +266,19 @@
         };
         self.log.install(snapshot.clone());
         self.records.push(JournalRecord::Snapshot(Box::new(snapshot)));
-        self.finish()
+        self.take_effects()
     }
 
-    /// When time alone changes something.
+    /// Time at which the next `AgreementEvent::Tick` is due.
     pub fn next_due(&self) -> Moment {
         match &self.role {
             AgreementRole::Leader(leader) => leader.heartbeat_due,
-            _ => self.inquiry.iter().map(StartInquiry::due).fold(self.election_due, Moment::min),
+            _ => self.inquiry.iter().map(LeaderInquiry::due).fold(self.election_due, Moment::min),
         }
     }
 
-    /// Lets a host that asks to join follow the log of this leader; it becomes
-    /// a voter once it has caught up.
+    /// Starts replication to a host that asks to join, if this host leads. The
+    /// learner becomes a voter once it has caught up.
     pub fn admit_learner(&mut self, now: Moment, host: HostId) {
         let first = self.log.last_index() + 1;
         if let AgreementRole::Leader(leader) = &mut self.role
@@ -274,54 +288,54 @@
         }
     }
 
-    /// The leader, as far as known.
+    /// The current leader, if known.
     pub fn leader(&self) -> Option<HostId> {
         self.leader
     }
 
-    /// The current term.
+    /// Highest term that this host has seen.
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
-    /// The commit index.
+    /// Index of the last committed entry.
     pub fn commit(&self) -> u64 {
         self.commit
     }
 
-    /// The log, for inspection.
+    /// The log in memory, including entries that are not committed.
     pub fn log(&self) -> &EntryLog {
         &self.log
     }
 
-    /// The voters in force.
+    /// The voters of the last change in the log, committed or not.
     pub fn voters(&self) -> &BTreeSet<HostId> {
         self.log.voters()
     }
 
-    /// True if this voter's disk is known to the others.
+    /// True if this host may vote and counts, see [`HardState::eligible`].
     pub fn is_eligible(&self) -> bool {
-        self.hard.eligible
+        self.hard_state.eligible
     }
 
-    /// True if this host leads, whether or not it can still prove it.
+    /// True if this host is in the leader role, even if its lease has expired.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, AgreementRole::Leader(_))
     }
 
-    /// True if this host leads, has committed an entry of its term, and no
-    /// other leader can exist yet.
+    /// True if this host leads, has committed an entry of its own term, and
+    /// holds a valid lease, so that no other leader can exist.
     pub fn is_current_leader(&self, now: Moment) -> bool {
         let AgreementRole::Leader(leader) = &self.role else {
             return false;
         };
-        let lease = self.settings.election_timeout * LEASE_DRIFT_PERCENT / 100;
-        let quorum_at = self.quorum_contact(leader, now);
+        let lease = self.settings.election_timeout * LEADER_LEASE_PERCENT / 100;
+        let quorum_at = self.quorum_contact_time(leader, now);
         self.commit >= leader.first_index && now.since(quorum_at) < lease
     }
 
-    /// The voter that a new set takes in, with the disk that caught up.
-    fn admission(&self, voters: &BTreeSet<HostId>) -> Option<AdmittedVoter> {
+    /// The host that a new set of voters adds, with the id of its disk.
+    fn admitted_voter(&self, voters: &BTreeSet<HostId>) -> Option<AdmittedVoter> {
         let host = *voters.difference(self.log.voters()).next()?;
         let AgreementRole::Leader(leader) = &self.role else {
             return None;
@@ -330,20 +344,20 @@
         Some(AdmittedVoter { host, incarnation })
     }
 
-    fn check_leads(&self) -> Result<(), ProposeError> {
+    fn ensure_leader(&self) -> Result<(), ProposeError> {
         if self.is_leader() {
             return Ok(());
         }
         Err(ProposeError::NotLeader { leader: self.leader })
     }
 
-    pub(super) fn quorum(&self) -> usize {
+    pub(super) fn quorum_size(&self) -> usize {
         self.log.voters().len() / 2 + 1
     }
 
-    /// Latest moment by which a quorum had been sent something that it
-    /// answered since.
-    pub(super) fn quorum_contact(&self, leader: &LeaderState, now: Moment) -> Moment {
+    /// Latest time such that each member of a quorum has answered a message
+    /// sent at that time or later.
+    pub(super) fn quorum_contact_time(&self, leader: &LeaderState, now: Moment) -> Moment {
         let mut contacts: Vec<Moment> = self
             .log
             .voters()
@@ -357,36 +371,36 @@
             })
             .collect();
         contacts.sort_unstable_by(|a, b| b.cmp(a));
-        contacts.get(self.quorum() - 1).copied().unwrap_or(Moment::ZERO)
+        contacts.get(self.quorum_size() - 1).copied().unwrap_or(Moment::ZERO)
     }
 
-    pub(super) fn reset_election(&mut self, now: Moment) {
-        self.election_due = now + self.jittered(self.settings.election_timeout);
+    pub(super) fn reset_election_timer(&mut self, now: Moment) {
+        self.election_due = now + self.random_timeout(self.settings.election_timeout);
     }
 
-    /// A random time from `shortest` to twice that.
-    pub(super) fn jittered(&mut self, shortest: Duration) -> Duration {
+    /// A random duration between `shortest` and twice `shortest`.
+    pub(super) fn random_timeout(&mut self, shortest: Duration) -> Duration {
         let shortest = (shortest.as_micros() as u64).max(1);
         Duration::from_micros(self.rng.random_range(shortest..2 * shortest))
     }
 
-    /// A random time up to `longest`.
-    pub(super) fn spread(&mut self, longest: Duration) -> Duration {
+    /// A random duration of at most `longest`.
+    pub(super) fn random_delay(&mut self, longest: Duration) -> Duration {
         let longest = longest.as_micros() as u64;
         Duration::from_micros(self.rng.random_range(0..=longest))
     }
 
-    pub(super) fn change_hard(&mut self, change: impl FnOnce(&mut HardState)) {
-        let before = self.hard;
-        change(&mut self.hard);
-        if self.hard != before {
-            self.records.push(JournalRecord::Hard(self.hard));
+    pub(super) fn update_hard_state(&mut self, change: impl FnOnce(&mut HardState)) {
+        let before = self.hard_state;
+        change(&mut self.hard_state);
+        if self.hard_state != before {
+            self.records.push(JournalRecord::Hard(self.hard_state));
         }
     }
 
     pub(super) fn append_entry(&mut self, entry: LogEntry) {
         self.synced_index = self.synced_index.min(entry.index - 1);
-        self.unsynced.retain_mut(|(_, index)| {
+        self.unsynced_batches.retain_mut(|(_, index)| {
             *index = (*index).min(entry.index - 1);
             true
         });
@@ -394,9 +408,9 @@
         self.log.append(entry);
     }
 
-    pub(super) fn append_own(&mut self, payload: EntryPayload) -> u64 {
+    pub(super) fn append_payload(&mut self, payload: EntryPayload) -> u64 {
         let index = self.log.last_index() + 1;
-        self.append_entry(LogEntry { index, term: self.hard.term, payload });
+        self.append_entry(LogEntry { index, term: self.hard_state.term, payload });
         index
     }
 
@@ -411,43 +425,43 @@
         self.effects.push(AgreementEffect::Send(to, message));
     }
 
-    fn persisted(&mut self, now: Moment, number: u64) {
+    fn mark_persisted(&mut self, now: Moment, number: u64) {
         self.synced_number = self.synced_number.max(number);
-        while let Some((batch, index)) = self.unsynced.front().copied() {
+        while let Some((batch, index)) = self.unsynced_batches.front().copied() {
             if batch > number {
                 break;
             }
             self.synced_index = self.synced_index.max(index);
-            self.unsynced.pop_front();
+            self.unsynced_batches.pop_front();
         }
-        while let Some((batch, _)) = self.held.front() {
+        while let Some((batch, _)) = self.pending_sends.front() {
             if *batch > self.synced_number {
                 break;
             }
-            if let Some((_, effect)) = self.held.pop_front() {
+            if let Some((_, effect)) = self.pending_sends.pop_front() {
                 self.effects.push(effect);
             }
         }
         self.advance_commit(now);
     }
 
-    /// Puts the records of this step before its effects, and holds messages
-    /// back until every record before them is synced.
-    fn finish(&mut self) -> Vec<AgreementEffect> {
+    /// Returns the effects of this step, preceded by its journal records.
+    /// Messages are withheld until all records before them are synced.
+    fn take_effects(&mut self) -> Vec<AgreementEffect> {
         let produced = std::mem::take(&mut self.effects);
         let mut ready = Vec::new();
         if !self.records.is_empty() {
             self.persist_number += 1;
             let number = self.persist_number;
-            self.unsynced.push_back((number, self.log.last_index()));
+            self.unsynced_batches.push_back((number, self.log.last_index()));
             let records = std::mem::take(&mut self.records);
             ready.push(AgreementEffect::Persist { number, records });
         }
         for effect in produced {
-            let waits = matches!(effect, AgreementEffect::Send(..))
+            let must_wait = matches!(effect, AgreementEffect::Send(..))
                 && self.synced_number < self.persist_number;
-            if waits {
-                self.held.push_back((self.persist_number, effect));
+            if must_wait {
+                self.pending_sends.push_back((self.persist_number, effect));
             } else {
                 ready.push(effect);
             }
--- a/crates/decisions/src/agreement/election.rs
+++ b/crates/decisions/src/agreement/election.rs
@@ -6,20 +6,22 @@
 };
 use crate::{clock::Moment, control_state::ControlCommand, identity::HostId};
 
-/// Pre-votes that a host without a leader holds in one election timeout.
+/// A host without a leader starts at most this many pre-votes per election
+/// timeout.
 const PRE_VOTES_PER_TIMEOUT: u32 = 4;
 
 impl AgreementState {
     pub(super) fn tick(&mut self, now: Moment) {
-        self.tend_inquiry(now);
+        self.advance_inquiry(now);
         match &self.role {
             AgreementRole::Leader(leader) => {
-                let silent = now.since(self.quorum_contact(leader, now).max(leader.elected_at));
-                if silent >= self.settings.election_timeout {
+                let quorum_silence =
+                    now.since(self.quorum_contact_time(leader, now).max(leader.elected_at));
+                if quorum_silence >= self.settings.election_timeout {
                     self.step_down(now);
                 } else if now >= leader.heartbeat_due {
                     self.replicate(now);
-                    self.tend_voters(now);
+                    self.adjust_voters(now);
                 }
             }
             _ if now >= self.election_due => self.start_pre_vote(now),
@@ -28,14 +30,14 @@
     }
 
     fn start_pre_vote(&mut self, now: Moment) {
-        // Asking again soon is harmless: a pre-vote changes nothing, and the
-        // others may only just have started.
+        // A pre-vote changes no voter's state, so it is repeated soon: the other
+        // voters may have been starting when they were asked.
         let retry = self.settings.election_timeout / PRE_VOTES_PER_TIMEOUT;
-        self.election_due = now + self.jittered(retry);
+        self.election_due = now + self.random_timeout(retry);
         if !self.log.voters().contains(&self.me) {
             return;
         }
-        let forming = !self.hard.eligible;
+        let forming = !self.hard_state.eligible;
         if forming && self.log.last_index() > 0 {
             return;
         }
@@ -44,10 +46,10 @@
     }
 
     fn campaign(&mut self, now: Moment, pre_vote: bool, forming: bool) {
-        let term = self.hard.term + 1;
+        let term = self.hard_state.term + 1;
         if !pre_vote {
             let me = self.me;
-            self.change_hard(|hard| {
+            self.update_hard_state(|hard| {
                 hard.term = term;
                 hard.voted_for = Some(me);
             });
@@ -70,50 +72,50 @@
     }
 
     pub(super) fn receive_vote(&mut self, now: Moment, from: HostId, request: VoteRequest) {
-        let granted = self.would_grant(now, from, &request);
+        let granted = self.can_grant_vote(now, from, &request);
         if granted && !request.pre_vote {
-            self.leave_role(now);
-            self.change_hard(|hard| {
+            self.become_follower(now);
+            self.update_hard_state(|hard| {
                 hard.term = request.term;
                 hard.voted_for = Some(from);
             });
-            self.reset_election(now);
+            self.reset_election_timer(now);
         }
         let reply = VoteReply {
             pre_vote: request.pre_vote,
-            term: if granted { request.term } else { self.hard.term },
+            term: if granted { request.term } else { self.hard_state.term },
             granted,
         };
         self.send(from, AgreementMessage::VoteReply(reply));
     }
 
-    fn would_grant(&self, now: Moment, from: HostId, request: &VoteRequest) -> bool {
+    fn can_grant_vote(&self, now: Moment, from: HostId, request: &VoteRequest) -> bool {
         let abstains = now < self.abstains_until;
-        if abstains || self.is_leader() || request.forming == self.hard.eligible {
+        if abstains || self.is_leader() || request.forming == self.hard_state.eligible {
             return false;
         }
         if request.forming && self.log.last_index() > 0 {
             return false;
         }
-        let free = match request.term.cmp(&self.hard.term) {
+        let term_allows = match request.term.cmp(&self.hard_state.term) {
             std::cmp::Ordering::Less => false,
             std::cmp::Ordering::Equal => {
-                !request.pre_vote && self.hard.voted_for.is_none_or(|host| host == from)
+                !request.pre_vote && self.hard_state.voted_for.is_none_or(|host| host == from)
             }
             std::cmp::Ordering::Greater => true,
         };
-        let theirs = (request.last_term, request.last_index);
-        free && theirs >= (self.log.last_term(), self.log.last_index())
+        let candidate_position = (request.last_term, request.last_index);
+        term_allows && candidate_position >= (self.log.last_term(), self.log.last_index())
     }
 
     pub(super) fn receive_vote_reply(&mut self, now: Moment, from: HostId, reply: VoteReply) {
         if !reply.granted {
-            if reply.term > self.hard.term {
+            if reply.term > self.hard_state.term {
                 self.adopt_term(now, reply.term);
             }
             return;
         }
-        let expected = self.hard.term + u64::from(reply.pre_vote);
+        let expected = self.hard_state.term + u64::from(reply.pre_vote);
         let AgreementRole::Candidate { pre_vote, granted, .. } = &mut self.role else {
             return;
         };
@@ -129,22 +131,22 @@
         };
         let (pre_vote, forming) = (*pre_vote, *forming);
         let voters = self.log.voters();
-        let needed = if forming { voters.len() } else { self.quorum() };
+        let needed = if forming { voters.len() } else { self.quorum_size() };
         if granted.intersection(voters).count() < needed {
             return;
         }
         if pre_vote {
             self.campaign(now, false, forming);
         } else {
-            self.lead(now);
+            self.become_leader(now);
         }
     }
 
-    fn lead(&mut self, now: Moment) {
-        self.change_hard(|hard| hard.eligible = true);
+    fn become_leader(&mut self, now: Moment) {
+        self.update_hard_state(|hard| hard.eligible = true);
         let first_index = self.log.last_index() + 1;
-        // Configured voters that were taken out are learners: they are caught
-        // up and taken in again, also by a leader that did not take them out.
+        // Initial voters that were removed are learners: they catch up and are
+        // added again, even if another leader removed them.
         let followers: BTreeMap<HostId, FollowerProgress> = self
             .log
             .voters()
@@ -159,34 +161,34 @@
             first_index,
         });
         self.leader = Some(self.me);
-        self.effects.push(AgreementEffect::Elected(self.hard.term));
+        self.effects.push(AgreementEffect::Elected(self.hard_state.term));
         if first_index == 1 {
             let voters = self.log.voters().clone();
-            self.append_own(EntryPayload::Voters { voters, admitted: None });
+            self.append_payload(EntryPayload::Voters { voters, admitted: None });
         }
-        self.append_own(EntryPayload::Command(ControlCommand::LeaderElected));
+        self.append_payload(EntryPayload::Command(ControlCommand::LeaderElected));
         self.replicate(now);
     }
 
     pub(super) fn adopt_term(&mut self, now: Moment, term: u64) {
-        self.leave_role(now);
-        self.change_hard(|hard| {
+        self.become_follower(now);
+        self.update_hard_state(|hard| {
             hard.term = term;
             hard.voted_for = None;
         });
     }
 
     fn step_down(&mut self, now: Moment) {
-        self.leave_role(now);
+        self.become_follower(now);
         self.leader = None;
-        self.reset_election(now);
+        self.reset_election_timer(now);
     }
 
-    pub(super) fn leave_role(&mut self, now: Moment) {
+    pub(super) fn become_follower(&mut self, now: Moment) {
         if self.is_leader() {
             self.effects.push(AgreementEffect::SteppedDown);
             self.leader = None;
-            self.reset_election(now);
+            self.reset_election_timer(now);
         }
         self.role = AgreementRole::Follower;
     }
--- a/crates/decisions/src/agreement/entry_log.rs
+++ b/crates/decisions/src/agreement/entry_log.rs
@@ -3,7 +3,7 @@
 use super::{EntryPayload, LogEntry, StateSnapshot};
 use crate::identity::HostId;
 
-/// The log in memory: a snapshot's position and the entries after it.
+/// The log in memory: a snapshot and the entries after it.
 #[derive(Debug, Clone)]
 pub struct EntryLog {
     snapshot: StateSnapshot,
@@ -11,7 +11,7 @@
 }
 
 impl EntryLog {
-    /// A log that begins after `snapshot`.
+    /// Creates a log without entries that starts after `snapshot`.
     pub fn new(snapshot: StateSnapshot) -> Self {
         Self { snapshot, entries: VecDeque::new() }
     }
@@ -21,27 +21,28 @@
         &self.snapshot
     }
 
-    /// Entries kept in memory.
+    /// Number of entries in memory; those covered by the snapshot do not count.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// True if no entry is kept in memory.
+    /// True if the log holds only the snapshot.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Last index, of an entry or of the snapshot.
+    /// Index of the last entry, or of the snapshot if there is none.
     pub fn last_index(&self) -> u64 {
         self.entries.back().map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// Term of the last index.
+    /// Term at `last_index`.
     pub fn last_term(&self) -> u64 {
         self.entries.back().map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// Term of an index, if it is still known.
+    /// Term at an index; `None` if the index is past the end or before the
+    /// snapshot.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -49,20 +50,20 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// An entry by index.
+    /// The entry at an index, if it is in memory.
     pub fn get(&self, index: u64) -> Option<&LogEntry> {
         let offset = index.checked_sub(self.snapshot.index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// Up to `limit` entries from `index` on.
+    /// Clones up to `limit` entries, starting at `index`.
     pub fn entries_from(&self, index: u64, limit: usize) -> Vec<LogEntry> {
         let skipped = index.saturating_sub(self.snapshot.index + 1) as usize;
         self.entries.iter().skip(skipped).take(limit).cloned().collect()
     }
 
-    /// Adds an entry, dropping those at or after its index. An entry that does
-    /// not follow the log is ignored.
+    /// Appends an entry after removing all entries at or after its index. An
+    /// entry that the snapshot covers or that would leave a gap is ignored.
     pub fn append(&mut self, entry: LogEntry) {
         if entry.index <= self.snapshot.index || entry.index > self.last_index() + 1 {
             return;
@@ -71,8 +72,8 @@
         self.entries.push_back(entry);
     }
 
-    /// Replaces the prefix up to the snapshot; later entries stay if they
-    /// follow from it.
+    /// Replaces the log up to the snapshot's index. Later entries are kept if
+    /// the log has the snapshot's term at that index, and dropped otherwise.
     pub fn install(&mut self, snapshot: StateSnapshot) {
         if snapshot.index <= self.snapshot.index {
             return;
@@ -85,12 +86,12 @@
         self.snapshot = snapshot;
     }
 
-    /// The voters after the last entry.
+    /// The set of voters as of the last entry.
     pub fn voters(&self) -> &BTreeSet<HostId> {
         self.voters_before(u64::MAX)
     }
 
-    /// The voters after the last entry before `index`.
+    /// The set of voters as of the last entry before `index`.
     pub fn voters_before(&self, index: u64) -> &BTreeSet<HostId> {
         self.entries
             .iter()
@@ -104,7 +105,7 @@
     }
 
     /// Index of the last change of voters, or the snapshot's index.
-    pub fn last_voters_index(&self) -> u64 {
+    pub fn last_voter_change_index(&self) -> u64 {
         self.entries
             .iter()
             .rev()
--- a/crates/decisions/src/agreement/journal_record.rs
+++ b/crates/decisions/src/agreement/journal_record.rs
@@ -7,39 +7,39 @@
     identity::HostId,
 };
 
-/// What a voter must remember over a restart besides its log.
+/// Persistent state of a voter besides its log (Raft's hard state).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HardState {
-    /// The highest term seen.
+    /// Highest term seen.
     pub term: u64,
-    /// The host that got this voter's vote in that term.
+    /// Host that received this voter's vote in that term, if any.
     pub voted_for: Option<HostId>,
-    /// The voter may vote and counts. False on an empty disk, until the voters
-    /// form together or a leader takes it in again.
+    /// The host may vote and counts towards a quorum. False on an empty disk
+    /// until the host takes part in forming the group or a leader admits it.
     pub eligible: bool,
-    /// Number of this disk, drawn when it was empty.
+    /// Random id of this disk, drawn when the disk was empty; 0 if not drawn yet.
     pub incarnation: u64,
 }
 
-/// A voter that was taken in with an empty disk.
+/// A host that was added to the voters after it caught up from an empty disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmittedVoter {
-    /// The host.
+    /// The added host.
     pub host: HostId,
-    /// The number of the disk that caught up.
+    /// `HardState::incarnation` of the disk that caught up.
     pub incarnation: u64,
 }
 
-/// What an entry of the log carries.
+/// Content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// A change of the replicated configuration.
+    /// A change of the replicated state.
     Command(ControlCommand),
-    /// A change of the voters.
+    /// A change of the set of voters.
     Voters {
-        /// The voters from this entry on.
+        /// Voters from this entry on, whether or not it is committed.
         voters: BTreeSet<HostId>,
-        /// The one that this entry takes in.
+        /// The host that this entry adds, if any.
         admitted: Option<AdmittedVoter>,
     },
 }
@@ -47,34 +47,34 @@
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Place in the log, from 1.
+    /// Position in the log, starting at 1.
     pub index: u64,
     /// Term of the leader that appended it.
     pub term: u64,
-    /// What it carries.
+    /// Content of the entry.
     pub payload: EntryPayload,
 }
 
-/// The state after a prefix of the log, in place of that prefix.
+/// Replicated state after a prefix of the log; replaces that prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateSnapshot {
-    /// Last index of the prefix.
+    /// Index of the last entry of the prefix.
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the entry at `index`.
     pub term: u64,
-    /// Voters at that index.
+    /// Voters as of `index`.
     pub voters: BTreeSet<HostId>,
-    /// The configuration at that index.
+    /// Replicated state as of `index`.
     pub state: ControlState,
 }
 
-/// One record of a voter's journal; replaying all of them in order rebuilds
-/// its memory.
+/// One record of a voter's journal; replaying all records in order restores
+/// the hard state, the snapshot and the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JournalRecord {
-    /// Replaces the remembered term and vote.
+    /// Replaces the hard state.
     Hard(HardState),
-    /// Adds an entry; entries at or after its index are dropped first.
+    /// Appends an entry after removing all entries at or after its index.
     Entry(LogEntry),
     /// Replaces the log up to the snapshot's index.
     Snapshot(Box<StateSnapshot>),
--- a/crates/decisions/src/agreement/start_inquiry.rs
+++ b/crates/decisions/src/agreement/leader_inquiry.rs
@@ -3,21 +3,23 @@
 use super::{AgreementMessage, AgreementState, InquiryReply};
 use crate::{clock::Moment, identity::HostId};
 
-/// Time between two rounds of questions: links to hosts that start at the same
-/// time come up one by one.
-const ROUND_INTERVAL: Duration = Duration::from_millis(25);
-/// Part of the election timeout within which hosts that know that nobody leads
-/// ask for votes.
-const SPREAD_PART: u32 = 8;
+/// Interval at which hosts that have not answered are asked again; links to
+/// hosts that start at the same time come up one by one.
+const INQUIRY_INTERVAL: Duration = Duration::from_millis(25);
+/// After an inquiry finds no leader, the host starts its pre-vote after a random
+/// delay of at most the election timeout divided by this.
+const VOTE_DELAY_DIVISOR: u32 = 8;
 
-/// What a voter that has just started asks the others.
+/// Inquiry of a voter that has just started: asks all voters whether there is a
+/// leader.
 ///
-/// Before its stop it may have answered a leader, whose lease then counts on
-/// it, so it gives no vote for one election timeout. If every host that may
-/// lead says that it does not, there is no such lease and it need not wait:
-/// after a loss of all hosts a leader is found at once.
+/// The voter may have answered a leader just before it stopped. The leader's
+/// lease may rely on that answer, so the voter grants no vote for one election
+/// timeout. If every host that may lead reports that there is no leader, no such
+/// lease exists and the wait ends: after a failure of all hosts a leader is
+/// elected without that delay.
 #[derive(Debug)]
-pub(super) struct StartInquiry {
+pub(super) struct LeaderInquiry {
     number: u64,
     round_due: Moment,
     ends_at: Moment,
@@ -25,8 +27,8 @@
     answered: BTreeSet<HostId>,
 }
 
-impl StartInquiry {
-    /// Questions of the host `me` to these voters, under a number that differs at
+impl LeaderInquiry {
+    /// Creates an inquiry of the host `me` to `voters`. `number` must differ at
     /// every start.
     pub(super) fn new(
         me: HostId,
@@ -39,7 +41,7 @@
         Self { number, round_due: now, ends_at, voters, answered: BTreeSet::from([me]) }
     }
 
-    /// When the next round is due.
+    /// Time of the next round of inquiries.
     pub(super) fn due(&self) -> Moment {
         self.round_due
     }
@@ -50,8 +52,9 @@
 }
 
 impl AgreementState {
-    /// Asks those that have not answered yet, if it is time.
-    pub(super) fn tend_inquiry(&mut self, now: Moment) {
+    /// Sends the next round of inquiries if it is due, and ends the inquiry at
+    /// its deadline.
+    pub(super) fn advance_inquiry(&mut self, now: Moment) {
         let Some(inquiry) = self.inquiry.as_mut().filter(|inquiry| now >= inquiry.round_due) else {
             return;
         };
@@ -59,7 +62,7 @@
             self.inquiry = None;
             return;
         }
-        inquiry.round_due = now + ROUND_INTERVAL;
+        inquiry.round_due = now + INQUIRY_INTERVAL;
         let number = inquiry.number;
         let hosts: Vec<HostId> = inquiry.unanswered().collect();
         for host in hosts {
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Says whether this host leads or follows a leader.
+    /// Answers whether this host leads or follows a leader.
     pub(super) fn receive_inquiry(&mut self, now: Moment, from: HostId, number: u64) {
         let follows = self.heard_leader && now < self.abstains_until;
         let reply = InquiryReply {
@@ -87,13 +90,14 @@
             return;
         }
         inquiry.answered.insert(from);
-        // A voter that this log does not name yet may lead as well.
+        // A voter that this host's log does not contain yet may be the leader.
         inquiry.voters.extend(reply.voters);
         if inquiry.unanswered().next().is_some() {
             return;
         }
         self.inquiry = None;
         self.abstains_until = now;
-        self.election_due = now + self.spread(self.settings.election_timeout / SPREAD_PART);
+        self.election_due =
+            now + self.random_delay(self.settings.election_timeout / VOTE_DELAY_DIVISOR);
     }
 }
--- a/crates/decisions/src/agreement/mod.rs
+++ b/crates/decisions/src/agreement/mod.rs
@@ -1,7 +1,8 @@
-//! Agreement among the control voters on one log of commands.
+//! Consensus among the control voters on one replicated log of commands.
 //!
-//! Elections use a pre-vote and a leader lease, a leader steps down without a
-//! quorum, and nothing counts before it is synced.
+//! Elections use a pre-vote and a leader lease. A leader that loses contact
+//! with a quorum steps down. Votes and entries count only once they are synced
+//! to disk.
 
 mod agreement_effect;
 mod agreement_message;
@@ -9,8 +10,8 @@
 mod election;
 mod entry_log;
 mod journal_record;
+mod leader_inquiry;
 mod replication;
-mod start_inquiry;
 
 pub use agreement_effect::{AgreementEffect, AgreementEvent};
 pub use agreement_message::{
--- a/crates/decisions/src/agreement/replication.rs
+++ b/crates/decisions/src/agreement/replication.rs
@@ -7,14 +7,15 @@
 };
 use crate::{clock::Moment, identity::HostId};
 
-/// Entries sent in one message.
-const APPEND_ENTRIES: usize = 256;
-/// Silence after which a voter leaves, if another one has taken its place.
-const REPLACED_SILENCE: Duration = Duration::from_secs(4);
-/// Silence after which a host that does not vote is no longer followed.
-const LEARNER_SILENCE: Duration = Duration::from_secs(10);
-/// Fewest voters that stay when a silent one leaves: three bear one loss.
-const FEWEST_VOTERS: usize = 3;
+/// Most entries in one [`AppendMessage`].
+const MAX_APPEND_ENTRIES: usize = 256;
+/// Silence after which a voter is removed if another voter has replaced it.
+const REPLACED_VOTER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Silence after which the leader stops replicating to a learner.
+const LEARNER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Fewest voters that remain when a silent one is removed; three voters
+/// tolerate one failure.
+const MIN_VOTERS: usize = 3;
 
 impl FollowerProgress {
     pub(super) fn new(next_index: u64, now: Moment) -> Self {
@@ -31,7 +32,7 @@
 }
 
 impl AgreementState {
-    pub(super) fn receive(&mut self, now: Moment, from: HostId, message: AgreementMessage) {
+    pub(super) fn receive_message(&mut self, now: Moment, from: HostId, message: AgreementMessage) {
         match message {
             AgreementMessage::Vote(request) => self.receive_vote(now, from, request),
             AgreementMessage::VoteReply(reply) => self.receive_vote_reply(now, from, reply),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Sends every follower what it lacks, or a heartbeat.
+    /// Sends each follower the entries it lacks, or a heartbeat.
     pub(super) fn replicate(&mut self, now: Moment) {
         let AgreementRole::Leader(leader) = &mut self.role else {
             return;
@@ -69,12 +70,12 @@
         let previous_index = follower.next_index - 1;
         let message = match self.log.term_at(previous_index) {
             Some(previous_term) => {
-                let entries = self.log.entries_from(follower.next_index, APPEND_ENTRIES);
-                // The next message goes on where this one ends, without
-                // waiting for its answer; a refusal sets it back.
+                let entries = self.log.entries_from(follower.next_index, MAX_APPEND_ENTRIES);
+                // The next message continues after these entries without
+                // waiting for the reply; a rejection moves the index back.
                 follower.next_index += entries.len() as u64;
                 AgreementMessage::Append(AppendMessage {
-                    term: self.hard.term,
+                    term: self.hard_state.term,
                     previous_index,
                     previous_term,
                     entries,
@@ -83,7 +84,7 @@
                 })
             }
             None => AgreementMessage::InstallSnapshot {
-                term: self.hard.term,
+                term: self.hard_state.term,
                 snapshot: Box::new(self.log.snapshot().clone()),
                 sent_at: now,
             },
@@ -92,28 +93,28 @@
     }
 
     fn accept_leader(&mut self, now: Moment, from: HostId, term: u64) -> bool {
-        if term < self.hard.term {
+        if term < self.hard_state.term {
             return false;
         }
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             self.adopt_term(now, term);
         }
-        self.leave_role(now);
+        self.become_follower(now);
         self.leader = Some(from);
         self.inquiry = None;
         self.heard_leader = true;
         self.abstains_until = now + self.settings.election_timeout;
-        self.reset_election(now);
+        self.reset_election_timer(now);
         true
     }
 
     fn reply_append(&mut self, to: HostId, accepted: bool, match_index: u64, sent_at: Moment) {
         let reply = AppendReply {
-            term: self.hard.term,
+            term: self.hard_state.term,
             accepted,
             match_index,
-            eligible: self.hard.eligible,
-            incarnation: self.hard.incarnation,
+            eligible: self.hard_state.eligible,
+            incarnation: self.hard_state.incarnation,
             sent_at,
         };
         self.send(to, AgreementMessage::AppendReply(reply));
@@ -123,46 +124,48 @@
         if !self.accept_leader(now, from, append.term) {
             return self.reply_append(from, false, 0, append.sent_at);
         }
-        let known = append.previous_index <= self.log.snapshot().index
+        let previous_matches = append.previous_index <= self.log.snapshot().index
             || self.log.term_at(append.previous_index) == Some(append.previous_term);
-        if !known {
-            let hint = self.log.last_index().min(append.previous_index - 1);
-            return self.reply_append(from, false, hint, append.sent_at);
+        if !previous_matches {
+            let may_match = self.log.last_index().min(append.previous_index - 1);
+            return self.reply_append(from, false, may_match, append.sent_at);
         }
         let last = append.previous_index + append.entries.len() as u64;
         for entry in append.entries {
-            self.take_entry(from, entry);
+            self.append_missing_entry(from, entry);
         }
         self.commit_up_to(append.commit.min(last));
         self.reply_append(from, true, last, append.sent_at);
     }
 
-    fn take_entry(&mut self, leader: HostId, entry: LogEntry) {
+    fn append_missing_entry(&mut self, leader: HostId, entry: LogEntry) {
         let present = entry.index <= self.log.snapshot().index
             || self.log.term_at(entry.index) == Some(entry.term);
         if present {
             return;
         }
-        self.check_eligibility(leader, &entry);
+        self.update_eligibility(leader, &entry);
         self.append_entry(entry);
     }
 
-    /// An empty disk may count once the voters form together with its vote, or
-    /// once a leader took it out of the voters and in again.
-    fn check_eligibility(&mut self, leader: HostId, entry: &LogEntry) {
+    /// Makes a host with an empty disk eligible once it has voted for the leader
+    /// that formed the group, or once a leader has removed it from the voters
+    /// and added it again.
+    fn update_eligibility(&mut self, leader: HostId, entry: &LogEntry) {
         let EntryPayload::Voters { voters, admitted } = &entry.payload else {
             return;
         };
-        if self.hard.eligible || !voters.contains(&self.me) {
+        if self.hard_state.eligible || !voters.contains(&self.me) {
             return;
         }
-        let formed =
-            entry.index == 1 && entry.term == self.hard.term && self.hard.voted_for == Some(leader);
-        let taken_in = admitted.is_some_and(|admitted| {
-            admitted.host == self.me && admitted.incarnation == self.hard.incarnation
+        let formed = entry.index == 1
+            && entry.term == self.hard_state.term
+            && self.hard_state.voted_for == Some(leader);
+        let readmitted = admitted.is_some_and(|admitted| {
+            admitted.host == self.me && admitted.incarnation == self.hard_state.incarnation
         });
-        if formed || taken_in {
-            self.change_hard(|hard| hard.eligible = true);
+        if formed || readmitted {
+            self.update_hard_state(|hard| hard.eligible = true);
         }
     }
 
@@ -185,7 +188,7 @@
     }
 
     fn receive_append_reply(&mut self, now: Moment, from: HostId, reply: AppendReply) {
-        if reply.term > self.hard.term {
+        if reply.term > self.hard_state.term {
             return self.adopt_term(now, reply.term);
         }
         let last_index = self.log.last_index();
@@ -195,10 +198,11 @@
         let Some(follower) = leader.followers.get_mut(&from) else {
             return;
         };
-        if reply.term < self.hard.term {
+        if reply.term < self.hard_state.term {
             return;
         }
-        // A reply that was overtaken may be from before the disk was taken in.
+        // A reply that arrives out of order may predate the admission of the
+        // follower's disk.
         if follower.acknowledged_at <= Some(reply.sent_at) {
             follower.acknowledged_at = Some(reply.sent_at);
             follower.eligible = reply.eligible;
@@ -211,21 +215,23 @@
             follower.match_index = follower.match_index.max(reply.match_index);
             follower.next_index = follower.next_index.max(reply.match_index + 1);
         } else if reply.match_index < follower.match_index {
-            // Late, or from a disk that lost what it had synced: the next
-            // heartbeat tries again, an answer at once would feed itself.
+            // The rejection is late, or comes from a disk that lost synced
+            // entries. The next heartbeat retries; an immediate retry would
+            // cause another rejection, in an endless loop.
             follower.next_index = follower.match_index + 1;
             return;
         } else {
             follower.next_index = reply.match_index + 1;
         }
-        let behind = follower.next_index <= last_index;
-        if behind {
+        let is_behind = follower.next_index <= last_index;
+        if is_behind {
             self.replicate_to(now, from);
         }
         self.advance_commit(now);
     }
 
-    /// Commits what a quorum has synced, if it is of the leader's own term.
+    /// Commits up to the last index that a quorum has synced, if the entry there
+    /// is of the leader's own term.
     pub(super) fn advance_commit(&mut self, _now: Moment) {
         let AgreementRole::Leader(leader) = &self.role else {
             return;
@@ -241,8 +247,8 @@
             })
             .collect();
         synced.sort_unstable_by(|a, b| b.cmp(a));
-        let quorum_index = synced.get(self.quorum() - 1).copied().unwrap_or(0);
-        if self.log.term_at(quorum_index) == Some(self.hard.term) {
+        let quorum_index = synced.get(self.quorum_size() - 1).copied().unwrap_or(0);
+        if self.log.term_at(quorum_index) == Some(self.hard_state.term) {
             self.commit_up_to(quorum_index);
         }
     }
@@ -259,21 +265,23 @@
         }
     }
 
-    /// Replaces a voter whose disk was lost: out of the voters, caught up, and
-    /// in again, one change at a time.
-    pub(super) fn tend_voters(&mut self, now: Moment) {
-        let settled = self.commit >= self.log.last_voters_index();
+    /// Proposes at most one change of the voters. A voter with a lost disk is
+    /// removed, catches up as a learner and is added again; a silent voter is
+    /// removed if it has been replaced; any learner that has caught up is added.
+    pub(super) fn adjust_voters(&mut self, now: Moment) {
+        let last_change_committed = self.commit >= self.log.last_voter_change_index();
         let AgreementRole::Leader(leader) = &mut self.role else {
             return;
         };
-        if !settled || self.commit < leader.first_index {
+        if !last_change_committed || self.commit < leader.first_index {
             return;
         }
         let mut voters = self.log.voters().clone();
-        let lost = leader.followers.iter().find(|(host, follower)| {
-            // A voter that was taken in a moment ago has not said so yet.
-            let answers_for_voters = follower.match_index >= self.log.last_voters_index();
-            voters.contains(host) && !follower.eligible && answers_for_voters
+        let lost_disk = leader.followers.iter().find(|(host, follower)| {
+            // The last reply of a voter that was just added may predate its
+            // admission and still report it as not eligible.
+            let has_last_change = follower.match_index >= self.log.last_voter_change_index();
+            voters.contains(host) && !follower.eligible && has_last_change
         });
         let silence = |follower: &FollowerProgress| {
             now.since(follower.acknowledged_at.unwrap_or(follower.followed_since))
@@ -284,12 +292,13 @@
                 && follower.acknowledged_at.is_some()
                 && silence(follower) < self.settings.election_timeout
         });
-        // An even set bears no more losses than the set with one voter less.
-        let spare = voters.len() > FEWEST_VOTERS && voters.len().is_multiple_of(2);
-        let replaced = leader.followers.iter().find(|(host, follower)| {
-            spare && voters.contains(host) && silence(follower) >= REPLACED_SILENCE
+        // An even number of voters tolerates no more failures than the odd number
+        // below it.
+        let can_spare_one = voters.len() > MIN_VOTERS && voters.len().is_multiple_of(2);
+        let silent_voter = leader.followers.iter().find(|(host, follower)| {
+            can_spare_one && voters.contains(host) && silence(follower) >= REPLACED_VOTER_TIMEOUT
         });
-        match (lost.or(replaced), caught_up) {
+        match (lost_disk.or(silent_voter), caught_up) {
             (Some((host, _)), _) => {
                 let host = *host;
                 voters.remove(&host);
@@ -303,7 +312,7 @@
                     voters.contains(host)
                         || self.settings.first_voters.contains(host)
                         || now.since(follower.acknowledged_at.unwrap_or(follower.followed_since))
-                            < LEARNER_SILENCE
+                            < LEARNER_TIMEOUT
                 });
                 return;
             }
