--- a/crates/decisions/src/control_state/audit_record.rs
+++ b/crates/decisions/src/control_state/audit_record.rs
@@ -5,35 +5,36 @@
 use super::PlannedChange;
 use crate::outcomes::ResultCode;
 
-/// One accepted or refused confirmation, chained to the one before.
+/// One accepted or refused confirmation of a plan, or one replacement of the
+/// routes. Each record is chained by hash to the previous one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// Place in the trail, from 1.
+    /// Position in the trail, starting at 1.
     pub sequence: u64,
-    /// Wall-clock time at the host that took the request, in milliseconds
+    /// Wall-clock time at the host that received the request, in milliseconds
     /// since 1970.
     pub at_unix_ms: u64,
-    /// Who confirmed.
+    /// Operator who confirmed; `platform` if the request carries no name.
     pub operator: Arc<str>,
-    /// The plan that was confirmed.
+    /// Id of the confirmed plan, or `routes-VERSION`.
     pub plan: Arc<str>,
-    /// What changed; empty if refused.
+    /// Changes that were applied; empty if refused.
     pub changes: Vec<PlannedChange>,
-    /// How it ended.
+    /// Result of the request.
     pub result: ResultCode,
-    /// Hash of this record and the hash before it, in hexadecimal.
+    /// Hash of this record and of the previous record's hash, in hexadecimal.
     pub chain: Arc<str>,
 }
 
 impl AuditRecord {
-    /// Sets the chain hash from the record before; the first record follows
-    /// the empty text.
-    pub(super) fn seal(mut self, previous: &str) -> Self {
-        self.chain = self.chain_after(previous);
+    /// Sets the chain hash. `previous` is the hash of the previous record, or
+    /// empty for the first one.
+    pub(super) fn set_chain_hash(mut self, previous: &str) -> Self {
+        self.chain = self.chain_hash(previous);
         self
     }
 
-    fn chain_after(&self, previous: &str) -> Arc<str> {
+    fn chain_hash(&self, previous: &str) -> Arc<str> {
         let text = format!(
             "{previous}|{}|{}|{}|{}|{:?}|{}",
             self.sequence,
@@ -47,16 +48,18 @@
     }
 }
 
-/// Sequence of the first record that does not follow from the one before it,
-/// or `None` if the trail is whole. The oldest records of a long trail are not
-/// kept; the first of the others then follows from one that cannot be seen.
+/// Returns the sequence number of the first record whose hash does not follow
+/// from the previous record, or `None` if the trail is intact.
+///
+/// A long trail no longer has its oldest records. Its first remaining record
+/// follows from a removed one and is not verified.
 pub fn verify_chain(records: &[AuditRecord]) -> Option<u64> {
     let (mut previous, records): (Arc<str>, _) = match records {
         [first, rest @ ..] if first.sequence > 1 => (first.chain.clone(), rest),
         _ => (Arc::from(""), records),
     };
     for record in records {
-        if record.chain != record.chain_after(&previous) {
+        if record.chain != record.chain_hash(&previous) {
             return Some(record.sequence);
         }
         previous = record.chain.clone();
--- a/crates/decisions/src/control_state/control_command.rs
+++ b/crates/decisions/src/control_state/control_command.rs
@@ -9,115 +9,117 @@
     routes::RouteTable,
 };
 
-/// A change of the replicated configuration.
+/// A change of the replicated control state.
 ///
-/// Each command states what it expects, and does nothing where that no longer
-/// holds, so that repeats and races are harmless.
+/// Each command states its preconditions and has no effect if they no longer
+/// hold, so that repeated and concurrent commands are harmless.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlCommand {
-    /// First entry of a leader's term.
+    /// A leader was elected; the first command of its term.
     LeaderElected,
-    /// A host is known to the system.
+    /// A host joins the system, or its record changes.
     HostJoined(HostRecord),
-    /// A host is gone.
+    /// A host is removed from the system.
     HostLeft(HostId),
-    /// A declared group has enough databases and starts.
+    /// A declared group is formed, since it has enough databases.
     GroupFormed(GroupRecord),
-    /// A database joins a group, not counting yet, or states a new address.
+    /// A database joins a group, or joins again after it left, possibly with a new
+    /// address. It does not count for the majority yet.
     MemberJoined(GroupName, MemberRecord),
-    /// A joining database caught up and counts from now on.
+    /// A joining database has caught up and counts for the majority.
     MemberCounts(GroupName, DatabaseName),
-    /// A database said that it leaves and gets no new work.
+    /// A database announced that it will leave and gets no new work.
     MemberDraining(GroupName, DatabaseName),
-    /// A drained database is gone.
+    /// A draining or joining database has left its group.
     MemberLeft(GroupName, DatabaseName),
-    /// The gateways of a group change.
+    /// These hosts replace the gateways of a group.
     #[serde(rename = "HomesAssigned")]
     GatewaysAssigned(GroupName, Vec<HostId>),
-    /// The group's term is to be replaced.
+    /// The group's term ends: a new primary is needed.
     TermEnded {
         /// The group.
         group: GroupName,
-        /// The highest term reserved so far.
+        /// Highest term reserved so far; a different one voids the command.
         expected: u64,
-        /// The change was asked for.
+        /// The change is planned, as the primary drains; false after a failure.
         planned: bool,
     },
-    /// A database is to become primary of the reserved term.
+    /// A database was chosen to become primary of the reserved term.
     PrimaryChosen {
         /// The group.
         group: GroupName,
-        /// The reserved term.
+        /// Reserved term.
         next_term: u64,
-        /// The database.
+        /// Chosen database.
         chosen: DatabaseName,
     },
-    /// The chosen database accepts writes in its term.
+    /// The chosen database accepts writes as primary of its term.
     TermStarted {
         /// The group.
         group: GroupName,
-        /// The term.
+        /// Term that starts.
         term: u64,
     },
-    /// A plan that can be confirmed.
+    /// A plan was made and can be confirmed.
     PlanMade(Plan),
     /// An operator confirmed a plan.
     PlanConfirmed {
-        /// Identity of the operator's request; a repeat gets the first answer.
+        /// Id of the operator's request; a repeated request gets the first
+        /// result again.
         request: Arc<str>,
-        /// The plan.
+        /// Id of the plan.
         plan: Arc<str>,
-        /// Who confirmed.
+        /// Operator who confirmed.
         operator: Arc<str>,
         /// Wall-clock time, in milliseconds since 1970.
         at_unix_ms: u64,
     },
-    /// An operator sent a whole configuration; the highest version wins.
+    /// An operator sent a whole route table; the highest version wins.
     RoutesReplaced {
-        /// The configuration.
+        /// New route table.
         table: Arc<RouteTable>,
         /// Wall-clock time, in milliseconds since 1970.
         at_unix_ms: u64,
     },
-    /// A database announced itself, or something about it changed; hosts that
-    /// restart know by this where to look until it announces itself again.
+    /// A database announced itself or changed its record. Hosts that restart use
+    /// this record until the database announces itself again.
     InstanceSeen(InstanceRecord),
-    /// A database is gone.
+    /// A database has left.
     InstanceGone(InstanceDeparture),
-    /// A host may hold leases from now on.
+    /// A host may be granted leases from now on.
     HolderJoined(HostId),
-    /// A host holds no lease and is forgotten.
+    /// A host holds no lease any more and is removed from the holders.
     HolderLeft(HostId),
-    /// The first primary of a service is known, or the primary started again.
+    /// The first primary of a service is known, or its primary has restarted.
     ServicePrimaryKnown {
         /// The service.
         service: Arc<str>,
         /// Its primary.
         primary: InstanceKey,
     },
-    /// The service's primary is to be replaced.
+    /// A service's term ends: a new primary is needed.
     ServiceTermEnded {
         /// The service.
         service: Arc<str>,
-        /// The term that ends.
+        /// Number of the term that ends.
         number: u64,
-        /// The change was asked for.
+        /// The change is planned, as the primary drains; false after a failure.
         planned: bool,
     },
-    /// A database is to lead the next term of a service.
+    /// A database was chosen to become primary of a service's next term.
     ServicePrimaryChosen {
         /// The service.
         service: Arc<str>,
-        /// The term that ended.
+        /// Number of the term that ended.
         number: u64,
-        /// The database.
+        /// Chosen database.
         chosen: InstanceKey,
     },
-    /// The chosen database leads.
+    /// The chosen database is primary: the next term starts.
     ServiceTermStarted {
         /// The service.
         service: Arc<str>,
-        /// The term that ended.
+        /// Number of the term that ended.
         number: u64,
     },
 }
--- a/crates/decisions/src/control_state/declaration.rs
+++ b/crates/decisions/src/control_state/declaration.rs
@@ -5,43 +5,43 @@
 
 use crate::identity::GroupName;
 
-/// Most instances that a service may have.
+/// Most instances of a service.
 const MAX_INSTANCES: u32 = 1_000;
-/// Most databases that an instance may have.
+/// Most databases of an instance.
 const MAX_DATABASES: u32 = 9;
 /// Most requests that may wait for one group on one host.
 const MAX_WAITING: u32 = 100_000;
 
-/// Why a declaration was refused.
+/// A declaration has a field that is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("services.{service}.{field}: {reason}"))]
 pub struct DeclarationError {
-    /// The service concerned.
+    /// Name of the service as declared.
     pub service: String,
-    /// The field concerned.
+    /// Field of the service, or `name` for the service name itself.
     pub field: &'static str,
-    /// What is wrong and how to mend it.
+    /// What is wrong with the value, or which values are allowed.
     pub reason: String,
 }
 
-/// What operators want of one service.
+/// Desired state of one service, as declared by operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceDeclaration {
-    /// Count of instances; instance N is the group `SERVICE.N`, from 1.
+    /// Number of instances; instance N, from 1, is the group `SERVICE.N`.
     pub instances: u32,
-    /// Databases that an instance needs before it is formed.
+    /// Databases that must be present before an instance is formed.
     pub databases: u32,
     /// Requests that may wait for one group on one host.
-    #[serde(default = "default_waiting")]
+    #[serde(default = "default_max_waiting")]
     pub max_waiting: u32,
 }
 
-fn default_waiting() -> u32 {
+fn default_max_waiting() -> u32 {
     1_000
 }
 
-/// Everything that operators declare, as kept in version control.
+/// All that operators declare, as they keep it in version control.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Declaration {
@@ -50,7 +50,7 @@
 }
 
 impl Declaration {
-    /// Checks names and bounds.
+    /// Checks service names and the bounds of all fields.
     ///
     /// # Errors
     /// `DeclarationError` for the first field that is not valid.
@@ -68,16 +68,16 @@
             return refuse("name", error.to_string());
         }
         if name.contains('.') {
-            return refuse("name", "a service name holds no '.'".to_owned());
+            return refuse("name", "a service name must not contain '.'".to_owned());
         }
         if !(1..=MAX_INSTANCES).contains(&self.instances) {
-            return refuse("instances", format!("give 1 to {MAX_INSTANCES}"));
+            return refuse("instances", format!("must be between 1 and {MAX_INSTANCES}"));
         }
         if !(1..=MAX_DATABASES).contains(&self.databases) {
-            return refuse("databases", format!("give 1 to {MAX_DATABASES}"));
+            return refuse("databases", format!("must be between 1 and {MAX_DATABASES}"));
         }
         if !(1..=MAX_WAITING).contains(&self.max_waiting) {
-            return refuse("max_waiting", format!("give 1 to {MAX_WAITING}"));
+            return refuse("max_waiting", format!("must be between 1 and {MAX_WAITING}"));
         }
         Ok(())
     }
--- a/crates/decisions/src/control_state/group_record.rs
+++ b/crates/decisions/src/control_state/group_record.rs
@@ -4,61 +4,63 @@
 
 use crate::identity::{DataCentre, DatabaseName, GroupName, HostId};
 
-/// How far a database has come in its group.
+/// Membership state of a database in its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberStanding {
-    /// Counts for the group's majority.
+    /// Full member: gets work and counts for the group's majority.
     Counting,
-    /// Replicates and serves reads but does not count yet.
+    /// Replicates and serves reads but does not count for the majority yet.
     Joining,
-    /// Gets no new work and does not become primary, but still counts.
+    /// Gets no new work and cannot become primary, but still counts for the
+    /// majority.
     Draining,
-    /// Gets no work and does not count.
+    /// Gets no work and does not count for the majority.
     Left,
 }
 
-/// Committed facts of one database.
+/// Committed record of one database.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Unique name.
+    /// Name, unique over all groups.
     pub database: DatabaseName,
-    /// Where it accepts PostgreSQL connections.
+    /// Address at which it accepts PostgreSQL connections.
     pub address: SocketAddr,
-    /// The data centre it stands in.
+    /// Data centre in which it runs.
     pub data_centre: DataCentre,
-    /// Connections it accepts, over all clients.
+    /// Most connections that it accepts, from all clients together.
     pub connections: u32,
-    /// Statements it runs at a time.
+    /// Statements that it runs concurrently.
     pub slots: u32,
-    /// How far it has come in its group.
+    /// Membership state in its group.
     pub standing: MemberStanding,
 }
 
 impl MemberRecord {
-    /// True if the member is one of the group's majority set.
+    /// True if the member counts when the group's majority is computed.
     pub fn counts_for_majority(&self) -> bool {
         matches!(self.standing, MemberStanding::Counting | MemberStanding::Draining)
     }
 
-    /// True if the member may get new work.
+    /// True if the member may be sent new statements.
     pub fn accepts_work(&self) -> bool {
         matches!(self.standing, MemberStanding::Counting | MemberStanding::Joining)
     }
 }
 
-/// Where a change of primary stands.
+/// Progress of a change of primary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupPhase {
-    /// The primary of the record's term accepts writes.
+    /// No change: the primary of the record's term accepts writes.
     Steady,
-    /// The record's term is being replaced by `next_term`.
+    /// The primary of the record's term is being fenced off; `next_term` will
+    /// replace the term.
     Fencing {
         /// The term that follows.
         next_term: u64,
-        /// The change was asked for, not caused by a failure.
+        /// The change is planned, as the primary drains; false after a failure.
         planned: bool,
     },
-    /// A database was chosen to become primary of `next_term`.
+    /// The chosen database is being promoted to primary of `next_term`.
     Promoting {
         /// The term that follows.
         next_term: u64,
@@ -67,30 +69,30 @@
     },
 }
 
-/// Committed facts of one database group.
+/// Committed record of one database group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupRecord {
-    /// `SERVICE.INSTANCE`.
+    /// Name in the form `SERVICE.INSTANCE`.
     pub name: GroupName,
-    /// The term in force.
+    /// Current term.
     pub term: u64,
-    /// The primary of that term.
+    /// Primary of the current term.
     pub primary: DatabaseName,
-    /// Where a change of primary stands.
+    /// Progress of a change of primary.
     pub phase: GroupPhase,
-    /// All databases, by name.
+    /// All databases by name, including those that left.
     pub members: BTreeMap<DatabaseName, MemberRecord>,
     /// Hosts that hold connections to the group's databases.
     #[serde(rename = "homes")]
     pub gateways: Vec<HostId>,
-    /// Parts that each database's connections are split into: one per gateway,
-    /// and one for a gateway that is being replaced.
+    /// Number of shares into which each database's connections are split: one
+    /// per gateway, and one for a gateway that is being replaced.
     #[serde(rename = "home_shares")]
     pub gateway_shares: u32,
 }
 
 impl GroupRecord {
-    /// Databases that make a majority of the group.
+    /// Number of databases that form a majority of the group.
     pub fn majority(&self) -> usize {
         self.counting_members().count() / 2 + 1
     }
@@ -100,7 +102,8 @@
         self.members.values().filter(|member| member.counts_for_majority())
     }
 
-    /// The highest term that this record reserves.
+    /// Highest term reserved so far: the next term during a change of primary,
+    /// else the current term.
     pub fn highest_term(&self) -> u64 {
         match &self.phase {
             GroupPhase::Steady => self.term,
@@ -110,8 +113,8 @@
         }
     }
 
-    /// Connections to one database that each gateway may hold for requests: an
-    /// even split, less one connection per gateway for reports and orders.
+    /// Connections to one database that each gateway may use for requests: an
+    /// even split, less one connection per gateway for status reports and orders.
     pub fn connection_share(&self, member: &MemberRecord) -> u32 {
         let split = member.connections / self.gateway_shares.max(1);
         split.saturating_sub(1).max(1)
--- a/crates/decisions/src/control_state/host_record.rs
+++ b/crates/decisions/src/control_state/host_record.rs
@@ -4,17 +4,17 @@
 
 use crate::identity::{DataCentre, HostId};
 
-/// Committed facts of one host of the system.
+/// Committed record of one host of the system.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// Number of the host.
+    /// Number of the host, unique in the system.
     pub id: HostId,
-    /// Where other hosts reach it.
+    /// Address for connections from other hosts.
     pub peer_address: SocketAddr,
-    /// Where callers, and hosts that forward to it, reach it.
+    /// Address for callers, and for hosts that forward requests to it.
     pub caller_address: SocketAddr,
-    /// The data centre it stands in.
+    /// Data centre in which it runs.
     pub data_centre: DataCentre,
-    /// The host is being emptied and takes no new callers.
+    /// The host is draining: it accepts no new callers.
     pub draining: bool,
 }
--- a/crates/decisions/src/control_state/mod.rs
+++ b/crates/decisions/src/control_state/mod.rs
@@ -1,5 +1,5 @@
-//! The replicated configuration: services, groups, hosts, plans and the audit
-//! trail.
+//! The replicated control state and the commands that change it: services,
+//! groups, hosts, routes, primaries, plans and the audit trail.
 
 mod audit_record;
 mod control_command;
--- a/crates/decisions/src/control_state/plan.rs
+++ b/crates/decisions/src/control_state/plan.rs
@@ -5,42 +5,43 @@
 use super::{Declaration, ServiceDeclaration};
 use crate::identity::{DatabaseName, HostId};
 
-/// What an operator wants.
+/// A change that an operator asks for; input of a [`Plan`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Intent {
-    /// The services are to be as declared.
+    /// Make the services match a declaration.
     Declare(Declaration),
-    /// A database gets no new work, so that it can be taken away.
+    /// Stop sending new work to a database, so that it can be removed.
     DrainDatabase(DatabaseName),
-    /// A drained database takes work again.
+    /// Send work to a drained database again.
     RestoreDatabase(DatabaseName),
-    /// A host takes no new callers, so that it can be taken away.
+    /// Accept no new callers on a host, so that it can be removed.
     DrainHost(HostId),
-    /// A drained host takes callers again.
+    /// Accept callers on a drained host again.
     RestoreHost(HostId),
-    /// A limit of one service changes.
+    /// Change the limit of waiting requests of one service.
     ChangeWaitingLimit {
-        /// The service.
+        /// Name of the service.
         service: Arc<str>,
         /// Requests that may wait for one group on one host.
         max_waiting: u32,
     },
 }
 
-/// One step of a plan.
+/// One change of a plan; its Debug text is hashed into plan ids and the audit
+/// chain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlannedChange {
-    /// A service appears.
+    /// Adds a service.
     AddService(Arc<str>, ServiceDeclaration),
-    /// A service changes, from the first to the second.
+    /// Changes a service; holds the declarations before and after.
     ChangeService(Arc<str>, ServiceDeclaration, ServiceDeclaration),
-    /// A service goes.
+    /// Removes a service.
     RemoveService(Arc<str>),
-    /// A database starts or stops draining.
+    /// Starts draining a database if true, else stops.
     SetDatabaseDraining(DatabaseName, bool),
-    /// A host starts or stops draining.
+    /// Starts draining a host if true, else stops.
     SetHostDraining(HostId, bool),
-    /// A whole configuration with this version is in force.
+    /// Replaces the whole route table by the one of this version.
     ReplaceRoutes(u64),
 }
 
@@ -82,20 +83,20 @@
     }
 }
 
-/// Changes that follow from an intent on a stated version.
+/// The changes that an intent requires, computed for one configuration version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Identity, from the base version and the changes.
+    /// Start of the hash of the base version and the changes, in hexadecimal.
     pub id: Arc<str>,
-    /// The configuration version that it was made on.
+    /// Configuration version for which the plan was computed.
     pub base_version: u64,
-    /// The steps; empty if nothing differs.
+    /// Changes in order; empty if the intent is already met.
     pub changes: Vec<PlannedChange>,
 }
 
 impl Plan {
-    /// Builds a plan; its id depends on the base and the changes alone, so the
-    /// same intent on the same version gives the same plan.
+    /// Creates a plan. Its id depends only on the base version and the changes,
+    /// so the same intent on the same version gives the same plan.
     pub fn new(base_version: u64, changes: Vec<PlannedChange>) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&base_version.to_be_bytes());
@@ -107,8 +108,8 @@
     }
 }
 
-/// Steps from the services in force to the declared ones.
-pub(super) fn service_changes(
+/// Changes that turn the current services into the declared ones.
+pub(super) fn diff_services(
     current: &BTreeMap<Arc<str>, ServiceDeclaration>,
     declared: &Declaration,
 ) -> Vec<PlannedChange> {
--- a/crates/decisions/src/control_state/replicated_state.rs
+++ b/crates/decisions/src/control_state/replicated_state.rs
@@ -8,7 +8,7 @@
 
 use super::{
     AuditRecord, ControlCommand, GroupPhase, GroupRecord, HostRecord, Intent, MemberRecord,
-    MemberStanding, Plan, PlannedChange, ServiceDeclaration, plan::service_changes,
+    MemberStanding, Plan, PlannedChange, ServiceDeclaration, plan::diff_services,
 };
 use crate::{
     identity::{DatabaseName, GroupName, HostId},
@@ -18,63 +18,64 @@
     routes::RouteTable,
 };
 
-/// Plans kept for confirmation; the oldest goes first.
+/// Most plans that can be confirmed; the oldest is dropped first.
 const MAX_PLANS: usize = 256;
-/// Answers kept for repeated requests; the oldest goes first.
+/// Most results kept for repeated requests; the oldest is dropped first.
 const MAX_ANSWERS: usize = 4_096;
-/// Audit records kept in memory; older ones are in the journal's snapshots.
-const MAX_AUDIT: usize = 10_000;
+/// Most audit records kept in memory; older ones are in the journal's snapshots.
+const MAX_AUDIT_RECORDS: usize = 10_000;
 
 /// Result of a confirmation, kept to answer repeated requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmationResult {
-    /// How it ended.
+    /// Whether the plan was applied, or why not.
     pub result: ResultCode,
-    /// Configuration version after it.
+    /// Configuration version after the confirmation.
     pub version: u64,
-    /// What changed since the plan's base, if it was refused for that.
+    /// Changes since the plan's base version, if the plan was refused as
+    /// outdated.
     pub changed_since: Vec<PlannedChange>,
 }
 
-/// The replicated configuration, the same on every host after the same
-/// commands.
+/// The replicated control state; it is the same on every host that has applied
+/// the same commands.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ControlState {
-    /// Commands applied so far.
+    /// Log index of the last applied command.
     pub applied: u64,
-    /// Count of accepted plans.
+    /// Configuration version: the number of confirmed plans that had changes.
     pub version: u64,
-    /// Grows with each change of the set of hosts.
+    /// Incremented whenever a host joins, leaves or announces a changed record.
     pub hosts_version: u64,
-    /// Declared services.
+    /// Declared services by name.
     pub services: BTreeMap<Arc<str>, ServiceDeclaration>,
-    /// Groups that were formed.
+    /// Formed groups by name.
     pub groups: BTreeMap<GroupName, GroupRecord>,
-    /// Hosts of the system.
+    /// Hosts of the system by number.
     pub hosts: BTreeMap<HostId, HostRecord>,
-    /// Plans that can be confirmed.
+    /// Plans that can be confirmed, by id.
     pub plans: IndexMap<Arc<str>, Plan>,
-    /// Answers by request id.
+    /// Results of confirmations by request id.
     pub answers: IndexMap<Arc<str>, ConfirmationResult>,
-    /// The audit trail, oldest first.
+    /// Audit trail, oldest record first.
     pub audit: Vec<AuditRecord>,
-    /// The operator's whole configuration.
+    /// Current route table, set by operators as a whole; `None` before the first.
     #[serde(default)]
     pub routes: Option<Arc<RouteTable>>,
-    /// Primaries by service.
+    /// Primaries and their terms by service.
     #[serde(default)]
     pub terms: BTreeMap<Arc<str>, ServiceTerm>,
-    /// Databases as they last announced themselves to control's leader.
+    /// Databases by id, as last announced to the control leader.
     #[serde(default)]
     pub instances: BTreeMap<Arc<str>, InstanceRecord>,
-    /// Hosts that may hold leases.
+    /// Hosts that may be granted leases.
     #[serde(default)]
     pub holders: BTreeSet<HostId>,
 }
 
 impl ControlState {
-    /// Applies the command with the given index. Indexes at or below
-    /// `applied` were applied before and change nothing.
+    /// Applies the command at a log index. An index at or below `applied` was
+    /// applied before and has no effect.
     pub fn apply(&mut self, index: u64, command: &ControlCommand) {
         if index <= self.applied {
             return;
@@ -103,9 +104,9 @@
                 );
             }
             ControlCommand::MemberLeft(group, database) => self.remove_member(group, database),
-            ControlCommand::GatewaysAssigned(group, homes) => {
+            ControlCommand::GatewaysAssigned(group, gateways) => {
                 if let Some(record) = self.groups.get_mut(group) {
-                    record.gateways.clone_from(homes);
+                    record.gateways.clone_from(gateways);
                 }
             }
             ControlCommand::TermEnded { group, expected, planned } => {
@@ -115,7 +116,7 @@
                 self.choose_primary(group, *next_term, chosen);
             }
             ControlCommand::TermStarted { group, term } => self.start_term(group, *term),
-            ControlCommand::PlanMade(plan) => self.keep_plan(plan),
+            ControlCommand::PlanMade(plan) => self.store_plan(plan),
             ControlCommand::PlanConfirmed { request, plan, operator, at_unix_ms } => {
                 self.confirm_plan(request, plan, operator, *at_unix_ms);
             }
@@ -133,7 +134,7 @@
                 self.holders.remove(host);
             }
             ControlCommand::ServicePrimaryKnown { service, primary } => {
-                self.know_primary(service, primary);
+                self.record_primary(service, primary);
             }
             ControlCommand::ServiceTermEnded { service, number, planned } => {
                 self.end_service_term(service, *number, *planned);
@@ -147,38 +148,39 @@
         }
     }
 
-    /// Turns an intent into a plan on the version in force.
+    /// Computes the plan for an intent on the current version.
     ///
     /// # Errors
-    /// A sentence that says what is wrong with the intent.
+    /// A message that says what is wrong with the intent.
     pub fn make_plan(&self, intent: &Intent) -> Result<Plan, String> {
         let changes = match intent {
             Intent::Declare(declaration) => {
                 declaration.check().map_err(|error| error.to_string())?;
-                service_changes(&self.services, declaration)
+                diff_services(&self.services, declaration)
             }
-            Intent::DrainDatabase(database) => self.draining_change(database, true)?,
-            Intent::RestoreDatabase(database) => self.draining_change(database, false)?,
-            Intent::DrainHost(host) => self.host_change(*host, true)?,
-            Intent::RestoreHost(host) => self.host_change(*host, false)?,
+            Intent::DrainDatabase(database) => self.database_draining_change(database, true)?,
+            Intent::RestoreDatabase(database) => self.database_draining_change(database, false)?,
+            Intent::DrainHost(host) => self.host_draining_change(*host, true)?,
+            Intent::RestoreHost(host) => self.host_draining_change(*host, false)?,
             Intent::ChangeWaitingLimit { service, max_waiting } => {
-                self.limit_change(service, *max_waiting)?
+                self.waiting_limit_change(service, *max_waiting)?
             }
         };
         Ok(Plan::new(self.version, changes))
     }
 
-    /// The group that a database belongs to.
+    /// The group that has the database as a member, also if it has left.
     pub fn group_of(&self, database: &DatabaseName) -> Option<&GroupRecord> {
         self.groups.values().find(|group| group.members.contains_key(database))
     }
 
-    /// True if the group belongs to a declared service.
+    /// True if the group is an instance of a declared service.
     pub fn is_declared(&self, group: &GroupName) -> bool {
         self.declaration_of(group).is_some()
     }
 
-    /// The declaration of the service that a group belongs to.
+    /// The declaration of the group's service; `None` if the service or this
+    /// instance of it is not declared.
     pub fn declaration_of(&self, group: &GroupName) -> Option<&ServiceDeclaration> {
         let (service, instance) = group.as_str().rsplit_once('.')?;
         let number: u32 = instance.parse().ok()?;
@@ -207,15 +209,15 @@
     }
 
     fn join_member(&mut self, group: &GroupName, member: &MemberRecord) {
-        let elsewhere = self.group_of(&member.database).is_some_and(|g| g.name != *group);
+        let in_other_group = self.group_of(&member.database).is_some_and(|g| g.name != *group);
         let Some(record) = self.groups.get_mut(group) else {
             return;
         };
-        let rejoins = record
+        let can_join = record
             .members
             .get(&member.database)
             .is_none_or(|known| known.standing == MemberStanding::Left);
-        if rejoins && !elsewhere {
+        if can_join && !in_other_group {
             let standing = MemberStanding::Joining;
             let joined = MemberRecord { standing, ..member.clone() };
             record.members.insert(member.database.clone(), joined);
@@ -239,8 +241,9 @@
         }
     }
 
-    /// A member leaves only between changes of primary, never as primary, and
-    /// only after it stopped counting for acknowledgements by draining.
+    /// Removes a member, unless it is the primary or a change of primary is in
+    /// progress. A counting member must drain first, so that it has stopped
+    /// counting for acknowledgements.
     fn remove_member(&mut self, group: &GroupName, database: &DatabaseName) {
         let is_primary = self.groups.get(group).is_some_and(|g| g.primary == *database);
         if is_primary {
@@ -280,18 +283,24 @@
         }
     }
 
-    fn keep_plan(&mut self, plan: &Plan) {
+    fn store_plan(&mut self, plan: &Plan) {
         self.plans.insert(plan.id.clone(), plan.clone());
         if self.plans.len() > MAX_PLANS {
             self.plans.shift_remove_index(0);
         }
     }
 
-    fn confirm_plan(&mut self, request: &Arc<str>, id: &Arc<str>, operator: &Arc<str>, at: u64) {
+    fn confirm_plan(
+        &mut self,
+        request: &Arc<str>,
+        plan_id: &Arc<str>,
+        operator: &Arc<str>,
+        at_unix_ms: u64,
+    ) {
         if self.answers.contains_key(request) {
             return;
         }
-        let (result, changes) = match self.plans.get(id).cloned() {
+        let (result, changes) = match self.plans.get(plan_id).cloned() {
             None => (ResultCode::UnknownPlan, Vec::new()),
             Some(plan) if plan.base_version != self.version => {
                 (ResultCode::PlanOutdated, Vec::new())
@@ -299,14 +308,14 @@
             Some(plan) => (ResultCode::Done, plan.changes),
         };
         let changed_since = match result {
-            ResultCode::PlanOutdated => self.changes_since(id),
+            ResultCode::PlanOutdated => self.changes_since(plan_id),
             _ => Vec::new(),
         };
         if !changes.is_empty() {
-            changes.iter().for_each(|change| self.carry_out(change));
+            changes.iter().for_each(|change| self.apply_change(change));
             self.version += 1;
         }
-        self.record_audit(operator, id, changes, result, at);
+        self.record_audit(operator, plan_id, changes, result, at_unix_ms);
         let answer = ConfirmationResult { result, version: self.version, changed_since };
         self.answers.insert(request.clone(), answer);
         if self.answers.len() > MAX_ANSWERS {
@@ -314,8 +323,8 @@
         }
     }
 
-    fn changes_since(&self, id: &Arc<str>) -> Vec<PlannedChange> {
-        let base = self.plans.get(id).map_or(0, |plan| plan.base_version);
+    fn changes_since(&self, plan_id: &Arc<str>) -> Vec<PlannedChange> {
+        let base = self.plans.get(plan_id).map_or(0, |plan| plan.base_version);
         let accepted = self.audit.iter().filter(|record| !record.changes.is_empty());
         let newer = (self.version - base) as usize;
         let skipped = accepted.clone().count().saturating_sub(newer);
@@ -343,13 +352,13 @@
             result,
             chain: Arc::from(""),
         };
-        self.audit.push(record.seal(&previous));
-        if self.audit.len() > MAX_AUDIT {
+        self.audit.push(record.set_chain_hash(&previous));
+        if self.audit.len() > MAX_AUDIT_RECORDS {
             self.audit.remove(0);
         }
     }
 
-    fn carry_out(&mut self, change: &PlannedChange) {
+    fn apply_change(&mut self, change: &PlannedChange) {
         match change {
             PlannedChange::AddService(name, service)
             | PlannedChange::ChangeService(name, _, service) => {
@@ -382,7 +391,7 @@
         };
     }
 
-    fn draining_change(
+    fn database_draining_change(
         &self,
         database: &DatabaseName,
         draining: bool,
@@ -399,7 +408,11 @@
         Ok(differs.then_some(change).into_iter().collect())
     }
 
-    fn host_change(&self, host: HostId, draining: bool) -> Result<Vec<PlannedChange>, String> {
+    fn host_draining_change(
+        &self,
+        host: HostId,
+        draining: bool,
+    ) -> Result<Vec<PlannedChange>, String> {
         let record = self
             .hosts
             .get(&host)
@@ -408,7 +421,7 @@
         Ok((record.draining != draining).then_some(change).into_iter().collect())
     }
 
-    fn limit_change(
+    fn waiting_limit_change(
         &self,
         name: &Arc<str>,
         max_waiting: u32,
@@ -421,6 +434,6 @@
         let mut declared = super::Declaration { services: self.services.clone() };
         declared.services.insert(name.clone(), after);
         declared.check().map_err(|error| error.to_string())?;
-        Ok(service_changes(&self.services, &declared))
+        Ok(diff_services(&self.services, &declared))
     }
 }
--- a/crates/decisions/src/control_state/service_terms.rs
+++ b/crates/decisions/src/control_state/service_terms.rs
@@ -8,11 +8,11 @@
     routes::RouteTable,
 };
 
-/// Who is named in the audit trail for orders that carry no operator's name.
-const UNNAMED_OPERATOR: &str = "platform";
+/// Operator in the audit trail for orders that do not name one.
+const DEFAULT_OPERATOR: &str = "platform";
 
 impl ControlState {
-    /// The version of the configuration in force, 0 before the first.
+    /// Version of the current routes, 0 before the first.
     pub fn routes_version(&self) -> u64 {
         self.routes.as_ref().map_or(0, |table| table.version)
     }
@@ -25,7 +25,7 @@
         let name = Arc::from(format!("routes-{}", table.version));
         let changes = vec![PlannedChange::ReplaceRoutes(table.version)];
         self.record_audit(
-            &Arc::from(UNNAMED_OPERATOR),
+            &Arc::from(DEFAULT_OPERATOR),
             &name,
             changes,
             ResultCode::Done,
@@ -40,9 +40,8 @@
         }
     }
 
-    /// Sets the first primary of a service, or the new start of its present
-    /// one.
-    pub(super) fn know_primary(&mut self, service: &Arc<str>, primary: &InstanceKey) {
+    /// Records the first primary of a service, or a restart of its current one.
+    pub(super) fn record_primary(&mut self, service: &Arc<str>, primary: &InstanceKey) {
         let since_index = self.applied;
         match self.terms.get_mut(service) {
             Some(term) if term.is_steady() && term.primary.id == primary.id => {
@@ -71,13 +70,13 @@
         let Some(term) = self.terms.get_mut(service).filter(|term| term.number == number) else {
             return;
         };
-        // A planned change may turn into one for a failure, not the other way.
-        let goes_on = match &term.phase {
+        // A planned change may become one after a failure, but not the reverse.
+        let allowed = match &term.phase {
             TermPhase::Fencing { planned: true } => !planned,
             TermPhase::Fencing { planned: false } => false,
             TermPhase::Steady | TermPhase::Promoting { .. } => true,
         };
-        if !goes_on {
+        if !allowed {
             return;
         }
         term.phase = TermPhase::Fencing { planned };
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,14 +1,14 @@
-//! Every decision of hawthornstack as pure state machines.
+//! Decision logic of hawthornstack, written as pure state machines.
 //!
-//! Nothing in this crate reads a clock, a socket, a file or a global random
-//! number. Time, messages and seeds come in as arguments and effects go out as
-//! values, so that the daemon, property tests and simulated clocks drive the
-//! same code.
+//! This crate reads no clock, socket or file, and no global random number
+//! generator. Time, messages and seeds are passed in as arguments and effects
+//! are returned as values, so that the daemon, property tests and simulated
+//! clocks run the same code.
 //!
-//! Two deployments are built from it: `hawthornstackd`, one daemon that does
-//! everything in front of PostgreSQL databases, and `hawthornstack-platform`,
-//! hosts of two roles (control and entry) that find each other by seeds. Each
-//! module serves one of them or both:
+//! Two deployments use it: `hawthornstackd`, a single daemon in front of
+//! PostgreSQL databases, and `hawthornstack-platform`, hosts of two roles
+//! (control and entry) that discover each other through seed addresses. Each
+//! module is used by one deployment or by both:
 //!
 //! - `agreement`: both
 //! - `clock`: both
@@ -27,7 +27,7 @@
 //! - `requests`: `hawthornstackd`
 //! - `routes`: `hawthornstack-platform`
 //! - `routing`: `hawthornstackd`
-//! - `sessions`: `hawthornstackd`; both rank hosts by `rank_hosts`
+//! - `sessions`: `hawthornstackd`, except `rank_hosts`, which both use
 //! - `statements`: `hawthornstackd`
 
 pub mod agreement;
