--- a/crates/decisions/tests/audit_trail.rs
+++ b/crates/decisions/tests/audit_trail.rs
@@ -1,4 +1,5 @@
-//! The audit trail keeps its newest records, and shows when one was changed.
+//! The audit trail keeps only its newest records. Its hash chain must still
+//! verify without the older ones, and must reveal changed and missing records.
 
 use std::sync::Arc;
 
@@ -7,12 +8,12 @@
     routes::{RouteTable, TrafficLimits},
 };
 
-/// Records that control keeps.
-const KEPT: u64 = 10_000;
+/// Audit records that the control state keeps.
+const MAX_AUDIT_RECORDS: u64 = 10_000;
 
-fn trail(orders: u64) -> Vec<AuditRecord> {
+fn build_trail(replacements: u64) -> Vec<AuditRecord> {
     let mut control = ControlState::default();
-    for version in 1..=orders {
+    for version in 1..=replacements {
         let table = RouteTable {
             version,
             routes: Vec::new(),
@@ -28,17 +29,17 @@
 }
 
 #[test]
-fn trail_without_its_oldest_records_is_whole() {
-    let mut records = trail(KEPT + 5);
-    assert_eq!((records.len() as u64, records[0].sequence), (KEPT, 6));
+fn trail_without_oldest_records_verifies() {
+    let mut records = build_trail(MAX_AUDIT_RECORDS + 5);
+    assert_eq!((records.len() as u64, records[0].sequence), (MAX_AUDIT_RECORDS, 6));
     assert_eq!(verify_chain(&records), None);
     records[100].at_unix_ms += 1;
     assert_eq!(verify_chain(&records), Some(106));
 }
 
 #[test]
-fn missing_and_changed_records_are_found() {
-    let records = trail(5);
+fn missing_and_changed_records_are_detected() {
+    let records = build_trail(5);
     assert_eq!(verify_chain(&records), None);
     let mut missing = records.clone();
     missing.remove(2);
--- a/crates/decisions/tests/whole_configurations.rs
+++ b/crates/decisions/tests/whole_configurations.rs
@@ -1,5 +1,6 @@
-//! Whole configurations: the highest version wins, repeats are accepted, and
-//! nothing accepted is lost or shown older.
+//! Replacement of the whole route table: the highest version wins, repeated
+//! requests are accepted, and an accepted version is neither lost nor followed by
+//! a read of an older one.
 
 mod control_world;
 
@@ -15,20 +16,20 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn formed() -> (ControlWorld, HostId) {
+fn start_world() -> (ControlWorld, HostId) {
     let mut world = ControlWorld::start(3);
     world.run(3 * SECOND);
     let leader = world.leader().expect("a leader");
     (world, leader)
 }
 
-fn read(world: &mut ControlWorld, at: HostId) -> Option<OrderAnswer> {
+fn read_routes(world: &mut ControlWorld, at: HostId) -> Option<OrderAnswer> {
     let ticket = world.order(at, OperatorOrder::ReadRoutes);
     world.run(SECOND / 10);
     world.answers.get(&ticket).cloned()
 }
 
-fn version(answer: Option<OrderAnswer>) -> Option<u64> {
+fn routes_version(answer: Option<OrderAnswer>) -> Option<u64> {
     match answer {
         Some(OrderAnswer::Routes(table)) => Some(table.version),
         _ => None,
@@ -36,55 +37,55 @@
 }
 
 #[test]
-fn older_version_is_accepted_and_changes_nothing() {
-    let (mut world, leader) = formed();
+fn older_version_is_accepted_without_effect() {
+    let (mut world, leader) = start_world();
     assert!(world.replace(7, SECOND));
     assert!(world.replace(5, SECOND));
     assert!(world.replace(7, SECOND));
-    assert_eq!(version(read(&mut world, leader)), Some(7));
+    assert_eq!(routes_version(read_routes(&mut world, leader)), Some(7));
 }
 
 #[test]
-fn other_content_under_the_same_version_is_not_taken() {
-    let (mut world, leader) = formed();
+fn other_content_with_same_version_is_ignored() {
+    let (mut world, leader) = start_world();
     assert!(world.replace(7, SECOND));
     let mut other = table(7);
     other.source = Arc::from("other");
     let order = OperatorOrder::ReplaceRoutes { table: Arc::new(other), at_unix_ms: 0 };
     world.order(leader, order);
     world.run(SECOND / 10);
-    match read(&mut world, leader) {
-        Some(OrderAnswer::Routes(held)) => assert_eq!(held.source, table(7).source),
+    match read_routes(&mut world, leader) {
+        Some(OrderAnswer::Routes(current)) => assert_eq!(current.source, table(7).source),
         answer => panic!("{answer:?}"),
     }
 }
 
 #[test]
 fn follower_names_the_leader() {
-    let (mut world, leader) = formed();
+    let (mut world, leader) = start_world();
     let follower = [1, 2, 3].map(HostId).into_iter().find(|id| *id != leader).expect("one");
-    assert_eq!(read(&mut world, follower), Some(OrderAnswer::NotLeader(leader)));
+    assert_eq!(read_routes(&mut world, follower), Some(OrderAnswer::NotLeader(leader)));
 }
 
 #[test]
-fn isolated_leader_does_not_read_back() {
-    let (mut world, leader) = formed();
+fn isolated_leader_does_not_serve_reads() {
+    let (mut world, leader) = start_world();
     assert!(world.replace(7, SECOND));
     let others: Vec<HostId> = [1, 2, 3].map(HostId).into();
     world.isolate(leader, &others, true);
     world.run(2 * SECOND);
-    let answer = read(&mut world, leader);
+    let answer = read_routes(&mut world, leader);
     assert!(!matches!(answer, Some(OrderAnswer::Routes(_))), "{answer:?}");
     assert!(world.replace(9, 3 * SECOND));
     world.isolate(leader, &others, false);
     world.run(2 * SECOND);
     let next = world.leader().expect("a leader");
-    assert_eq!(version(read(&mut world, next)), Some(9));
+    assert_eq!(routes_version(read_routes(&mut world, next)), Some(9));
 }
 
 #[test]
-fn change_is_in_the_audit_trail() {
-    let (mut world, leader) = formed();
+fn replacement_is_in_audit_trail() {
+    let (mut world, leader) = start_world();
     assert!(world.replace(7, SECOND));
     let control = world.host(leader).expect("a host").control();
     let last = control.audit.last().expect("a record");
@@ -94,18 +95,18 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
-    /// Disks are lost one at a time, each after its host was taken in again,
-    /// while everything else loses power.
+    /// In each round one host loses its disk while all others lose power. The next
+    /// disk is lost only after the wiped host had time to be admitted again.
     #[test]
-    fn accepted_version_outlives_a_lost_disk(wiped in 1u32..4, waits in 0u64..400, rounds in 1usize..4) {
-        let (mut world, _) = formed();
+    fn accepted_version_survives_lost_disks(first_wiped in 1u32..4, wait_ms in 0u64..400, rounds in 1usize..4) {
+        let (mut world, _) = start_world();
         let mut accepted = 0;
         for round in 0..rounds {
             let next = accepted + 3;
             prop_assert!(world.replace(next, 10 * SECOND));
             accepted = next;
-            world.run(Duration::from_millis(waits));
-            let wiped = HostId(1 + (wiped + round as u32) % 3);
+            world.run(Duration::from_millis(wait_ms));
+            let wiped = HostId(1 + (first_wiped + round as u32) % 3);
             for id in [1, 2, 3].map(HostId) {
                 match id == wiped {
                     true => world.wipe(id),
@@ -119,14 +120,14 @@
             world.run(6 * SECOND);
             let leader = world.leader();
             prop_assert!(leader.is_some());
-            let answer = leader.and_then(|leader| read(&mut world, leader));
-            prop_assert_eq!(version(answer), Some(accepted));
+            let answer = leader.and_then(|leader| read_routes(&mut world, leader));
+            prop_assert_eq!(routes_version(answer), Some(accepted));
         }
     }
 }
 
 #[test]
-fn contradictions_are_refused_with_the_mend() {
+fn inconsistent_routes_are_rejected() {
     let route = |name: &str, service: &str, timeout| RouteRule {
         name: Arc::from(name),
         database: Arc::from("seats"),
@@ -137,16 +138,17 @@
         priority: 1,
         service: Arc::from(service),
     };
-    let with = |routes: Vec<RouteRule>| {
+    let check_routes = |routes: Vec<RouteRule>| {
         let mut table = table(1);
         table.routes = routes;
         table.check()
     };
-    assert!(with(vec![route("r", "books", SECOND)]).is_ok());
-    let unknown = with(vec![route("r", "nowhere", SECOND)]);
+    assert!(check_routes(vec![route("r", "books", SECOND)]).is_ok());
+    let unknown = check_routes(vec![route("r", "nowhere", SECOND)]);
     assert!(matches!(unknown, Err(RouteError::UnknownService { .. })));
-    let no_time = with(vec![route("r", "books", Duration::ZERO)]);
-    assert!(matches!(no_time, Err(RouteError::ZeroTimeout { .. })));
-    let shared = with(vec![route("r", "books", SECOND), route("s", "books", SECOND)]);
-    assert!(matches!(shared, Err(RouteError::DuplicatePath { .. })));
+    let zero_timeout = check_routes(vec![route("r", "books", Duration::ZERO)]);
+    assert!(matches!(zero_timeout, Err(RouteError::ZeroTimeout { .. })));
+    let duplicate_path =
+        check_routes(vec![route("r", "books", SECOND), route("s", "books", SECOND)]);
+    assert!(matches!(duplicate_path, Err(RouteError::DuplicatePath { .. })));
 }
