--- a/crates/daemon/src/pg_callers/forward_runner.rs
+++ b/crates/daemon/src/pg_callers/forward_runner.rs
@@ -146,7 +146,7 @@
         let segments = connection.exchange(&bytes, 2).await?;
         match segments.last().map(|segment| segment.status) {
             Some(b'T') => Ok(connection),
-            _ => Err(UpstreamError::Refused { text: "BEGIN".to_owned() }),
+            _ => Err(UpstreamError::Refused { text: "BEGIN opened no transaction".to_owned() }),
         }
     }
 
--- a/crates/daemon/src/pg_callers/forward_store.rs
+++ b/crates/daemon/src/pg_callers/forward_store.rs
@@ -58,7 +58,7 @@
     ) -> Result<UpstreamConnection, UpstreamError> {
         let key = (home.host, group.clone());
         while let Some(connection) = self.pop(&key) {
-            if connection.is_quiet() {
+            if connection.is_open_and_idle() {
                 return Ok(connection);
             }
         }
@@ -75,7 +75,7 @@
 
     pub(super) fn check_in(&self, home: HostId, group: &GroupName, connection: UpstreamConnection) {
         self.with(|state| {
-            if state.count < MAX_IDLE && !connection.is_worn() {
+            if state.count < MAX_IDLE && !connection.has_too_many_statements() {
                 state.count += 1;
                 state.idle.entry((home, group.clone())).or_default().push(connection);
             }
--- a/crates/daemon/src/pg_callers/keyed_request.rs
+++ b/crates/daemon/src/pg_callers/keyed_request.rs
@@ -144,7 +144,7 @@
                         state.timeout.min(ATTEMPT_TIMEOUT),
                         self.attempt(&mut connection),
                     );
-                    match KeyedStep::after(attempt.await.unwrap_or(Err(UpstreamError::Late))) {
+                    match KeyedStep::after(attempt.await.unwrap_or(Err(UpstreamError::TimedOut))) {
                         KeyedStep::Lost => handle.report(ExecutionReport::ConnectionLost),
                         KeyedStep::Report(report, answer) => {
                             held = answer;
--- a/crates/daemon/src/pg_callers/request_runner.rs
+++ b/crates/daemon/src/pg_callers/request_runner.rs
@@ -234,7 +234,7 @@
                             return RunEnd::Refused(ResultCode::Cancelled);
                         }
                         performed = timeout_at(deadline + RUN_GRACE, perform(work, &mut connection, !aged)) => {
-                            performed.unwrap_or(Err(UpstreamError::Late))
+                            performed.unwrap_or(Err(UpstreamError::TimedOut))
                         }
                     };
                     let (report, answer) = judge(kind, performed);
@@ -292,7 +292,7 @@
         let segment = connection.query(begin).await?;
         match segment.status {
             b'T' => Ok(connection),
-            _ => Err(UpstreamError::Refused { text: "BEGIN".to_owned() }),
+            _ => Err(UpstreamError::Refused { text: "BEGIN opened no transaction".to_owned() }),
         }
     }
 
--- a/crates/daemon/src/pg_upstreams/connection_store.rs
+++ b/crates/daemon/src/pg_upstreams/connection_store.rs
@@ -10,15 +10,16 @@
 
 type IdleConnections = HashMap<DatabaseName, Vec<UpstreamConnection>>;
 
-/// Idle connections of one daemon, by database. How many exist at a time is
-/// bounded by the host's decisions, which hand out the right to use one.
+/// Idle connections of one daemon, by database. The store has no limit of its
+/// own: the host's decisions grant the use of every connection, and so bound
+/// how many exist at a time.
 #[derive(Debug, Clone, Default)]
 pub struct ConnectionStore {
     idle: Arc<Mutex<IdleConnections>>,
 }
 
 impl ConnectionStore {
-    /// An idle connection, or a new one.
+    /// Returns an idle connection to a database, or opens a new one.
     ///
     /// # Errors
     /// `UpstreamError` if a new one cannot be opened.
@@ -29,17 +30,18 @@
         group: &GroupName,
     ) -> Result<UpstreamConnection, UpstreamError> {
         while let Some(connection) = self.pop(database) {
-            if connection.is_quiet() {
+            if connection.is_open_and_idle() {
                 return Ok(connection);
             }
         }
         UpstreamConnection::open(address, group.as_str()).await
     }
 
-    /// Gives a connection back whose last answer was whole and whose
-    /// transaction is over.
+    /// Returns a connection to the store. Its last answer must have been read
+    /// completely and its transaction must have ended. A connection with too
+    /// many prepared statements is closed instead.
     pub fn check_in(&self, database: &DatabaseName, connection: UpstreamConnection) {
-        if connection.is_worn() {
+        if connection.has_too_many_statements() {
             return;
         }
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
@@ -47,7 +49,7 @@
     }
 
     /// Closes the idle connections to a database.
-    pub fn close(&self, database: &DatabaseName) {
+    pub fn close_idle(&self, database: &DatabaseName) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.remove(database);
     }
--- a/crates/daemon/src/pg_upstreams/mod.rs
+++ b/crates/daemon/src/pg_upstreams/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to upstream databases, their reports, and orders to them.
+//! Connections to upstream databases, polling of their reports, and orders sent to them.
 
 mod connection_store;
 mod database_monitor;
--- a/crates/daemon/src/pg_upstreams/upstream_connection.rs
+++ b/crates/daemon/src/pg_upstreams/upstream_connection.rs
@@ -18,22 +18,22 @@
 use super::{
     UpstreamError,
     upstream_error::{
-        BrokenSnafu, ClosedSnafu, ConfusedSnafu, ConnectSnafu, RefusedSnafu, TooLargeSnafu,
+        BrokenSnafu, ClosedSnafu, ConnectSnafu, ProtocolSnafu, RefusedSnafu, TooLargeSnafu,
     },
 };
 
-/// Time for a connection, its start-up included.
+/// Timeout for opening a connection, including the start-up exchange.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Bytes of a message's type and length.
+/// Length of a message header: type byte and length field.
 const HEADER_BYTES: usize = 5;
-/// Largest answer that is held back until it is certain, in bytes.
+/// Largest answer that is buffered until its outcome is certain, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
-/// Prepared statements kept on one connection before it is replaced.
-const MAX_PREPARED: usize = 500;
+/// Prepared statements on one connection above which it is closed, not reused.
+const MAX_PREPARED_STATEMENTS: usize = 500;
 
-/// Start-up parameter of connections that forward requests to a home.
+/// Start-up parameter of connections that forward requests to a gateway host.
 pub(crate) const FORWARD_PARAMETER: &str = "hawthornstack_forward";
-/// Name under which the proxy connects.
+/// User name in the start-up message.
 const UPSTREAM_USER: &str = "hawthornstack";
 
 /// Messages of one answer, up to and including its `ReadyForQuery`.
@@ -48,7 +48,7 @@
 }
 
 impl ReplySegment {
-    /// Goes through the messages: type and whole frame.
+    /// Iterates over the messages, as type byte and complete frame.
     pub fn iter(&self) -> impl Iterator<Item = (u8, &[u8])> {
         let mut rest: &[u8] = &self.frames;
         std::iter::from_fn(move || {
@@ -59,19 +59,19 @@
         })
     }
 
-    /// Text columns of the first row, for reports.
+    /// Text columns of the first row; a NULL is read as an empty string.
     pub fn first_row(&self) -> Option<Vec<String>> {
         let context = backend_context();
         let mut frames = self.frames.clone();
         while let Ok(Some(message)) = PgWireBackendMessage::decode(&mut frames, &context) {
             if let PgWireBackendMessage::DataRow(row) = message {
-                return read_columns(row.data, row.field_count);
+                return parse_columns(row.data, row.field_count);
             }
         }
         None
     }
 
-    /// The position in the answer to a position statement.
+    /// Position in the answer to `POSITION_STATEMENT`.
     pub fn position(&self) -> Option<LogPosition> {
         read_position(self.first_row()?.first()?)
     }
@@ -81,13 +81,14 @@
         self.has_error_text(&format!("C{sqlstate}\0"))
     }
 
-    /// True if an error holds this text, its field's letter first.
+    /// True if an error contains this text, which starts with the type byte of
+    /// an error field.
     pub(crate) fn has_error_text(&self, text: &str) -> bool {
         let holds = |frame: &[u8]| frame.windows(text.len()).any(|at| at == text.as_bytes());
         self.failed && self.iter().any(|(kind, frame)| kind == b'E' && holds(frame))
     }
 
-    /// The last value of a parameter that the answer announces.
+    /// Last value of a parameter that a `ParameterStatus` message reports.
     pub fn parameter(&self, name: &str) -> Option<String> {
         let prefix = format!("{name}\0");
         let value = self.iter().filter(|(kind, _)| *kind == b'S').filter_map(|(_, frame)| {
@@ -97,7 +98,7 @@
         String::from_utf8(value.last()?.to_vec()).ok()
     }
 
-    /// The tag of the last completed command.
+    /// Tag of the last `CommandComplete` message.
     pub fn last_tag(&self) -> Option<String> {
         let (_, frame) = self.iter().filter(|(kind, _)| *kind == b'C').last()?;
         let text = frame.get(HEADER_BYTES..frame.len().saturating_sub(1))?;
@@ -105,7 +106,7 @@
     }
 }
 
-fn read_columns(data: BytesMut, count: i16) -> Option<Vec<String>> {
+fn parse_columns(data: BytesMut, count: i16) -> Option<Vec<String>> {
     let mut data = data;
     let mut columns = Vec::new();
     for _ in 0..count {
@@ -128,24 +129,25 @@
     context
 }
 
-/// Length of the first whole frame, its type byte included.
+/// Length of the first frame, its type byte included; `None` if the frame is
+/// incomplete or its length field is too small.
 fn frame_length(bytes: &[u8]) -> Option<usize> {
     let header = bytes.get(1..HEADER_BYTES)?;
     let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize + 1;
     (length >= HEADER_BYTES && bytes.len() >= length).then_some(length)
 }
 
-/// One connection to a database, used by one request at a time.
+/// Connection to a database or to a gateway host, used by one request at a time.
 #[derive(Debug)]
 pub struct UpstreamConnection {
     stream: TcpStream,
-    read: BytesMut,
-    /// Keys of the statements that are prepared on it.
+    read_buffer: BytesMut,
+    /// Keys of the statements that are prepared on this connection.
     pub prepared: HashSet<Box<str>>,
 }
 
 impl UpstreamConnection {
-    /// Opens a connection for a group.
+    /// Opens a connection to a database of a group.
     ///
     /// # Errors
     /// `UpstreamError` if the database cannot be reached or refuses.
@@ -153,10 +155,11 @@
         Self::open_with(address, group, None).await
     }
 
-    /// Opens a connection to a home, which then serves what is forwarded to it.
+    /// Opens a connection to a gateway host, which runs the requests that are
+    /// forwarded over it.
     ///
     /// # Errors
-    /// `UpstreamError` if the home cannot be reached or refuses.
+    /// `UpstreamError` if the host cannot be reached or refuses.
     pub async fn open_forward(address: SocketAddr, group: &str) -> Result<Self, UpstreamError> {
         Self::open_with(address, group, Some(FORWARD_PARAMETER)).await
     }
@@ -166,20 +169,21 @@
         group: &str,
         parameter: Option<&str>,
     ) -> Result<Self, UpstreamError> {
-        match timeout(CONNECT_TIMEOUT, Self::start(address, group, parameter)).await {
+        match timeout(CONNECT_TIMEOUT, Self::connect(address, group, parameter)).await {
             Ok(opened) => opened,
-            Err(_) => Err(UpstreamError::Late),
+            Err(_) => Err(UpstreamError::TimedOut),
         }
     }
 
-    async fn start(
+    async fn connect(
         address: SocketAddr,
         group: &str,
         parameter: Option<&str>,
     ) -> Result<Self, UpstreamError> {
         let stream = TcpStream::connect(address).await.context(ConnectSnafu)?;
         stream.set_nodelay(true).context(ConnectSnafu)?;
-        let mut connection = Self { stream, read: BytesMut::new(), prepared: HashSet::new() };
+        let mut connection =
+            Self { stream, read_buffer: BytesMut::new(), prepared: HashSet::new() };
         let mut startup = Startup::new();
         startup.parameters.insert("user".to_owned(), UPSTREAM_USER.to_owned());
         startup.parameters.insert("database".to_owned(), group.to_owned());
@@ -200,12 +204,13 @@
                     let text = format!("{:?}", error.fields);
                     return RefusedSnafu { text }.fail();
                 }
-                other => return ConfusedSnafu { text: format!("{other:?}") }.fail(),
+                other => return ProtocolSnafu { text: format!("{other:?}") }.fail(),
             }
         }
     }
 
-    /// Sends `request` and reads `answers` answers.
+    /// Sends `request` and reads `answers` answers, each up to its
+    /// `ReadyForQuery`.
     ///
     /// # Errors
     /// `UpstreamError`; the connection must be closed after one.
@@ -214,21 +219,21 @@
         request: &[u8],
         answers: usize,
     ) -> Result<Vec<ReplySegment>, UpstreamError> {
-        if !self.read.is_empty() {
-            return ConfusedSnafu { text: "an answer came late" }.fail();
+        if !self.read_buffer.is_empty() {
+            return ProtocolSnafu { text: "unread data before the request" }.fail();
         }
         self.write(request).await?;
         let mut segments = Vec::with_capacity(answers);
         for _ in 0..answers {
             segments.push(self.read_segment().await?);
         }
-        if !self.read.is_empty() {
-            return ConfusedSnafu { text: "an answer came unasked" }.fail();
+        if !self.read_buffer.is_empty() {
+            return ProtocolSnafu { text: "data after the last expected answer" }.fail();
         }
         Ok(segments)
     }
 
-    /// Runs one statement by the simple protocol.
+    /// Runs one statement with the simple query protocol.
     ///
     /// # Errors
     /// As for [`exchange`](Self::exchange).
@@ -242,13 +247,13 @@
     async fn read_segment(&mut self) -> Result<ReplySegment, UpstreamError> {
         let mut segment = ReplySegment::default();
         loop {
-            let Some(length) = frame_length(&self.read) else {
-                self.fill().await?;
+            let Some(length) = frame_length(&self.read_buffer) else {
+                self.fill_read_buffer().await?;
                 continue;
             };
-            let kind = self.read[0];
-            let status = self.read[length - 1];
-            let frame = self.read.split_to(length);
+            let kind = self.read_buffer[0];
+            let status = self.read_buffer[length - 1];
+            let frame = self.read_buffer.split_to(length);
             if segment.frames.len() + length > MAX_ANSWER_BYTES {
                 return TooLargeSnafu { limit: MAX_ANSWER_BYTES }.fail();
             }
@@ -259,7 +264,9 @@
                     segment.status = status;
                     return Ok(segment);
                 }
-                b'G' | b'H' | b'W' => return ConfusedSnafu { text: "COPY" }.fail(),
+                b'G' | b'H' | b'W' => {
+                    return ProtocolSnafu { text: "COPY is not supported" }.fail();
+                }
                 _ => {}
             }
         }
@@ -268,18 +275,18 @@
     async fn read_message(&mut self) -> Result<PgWireBackendMessage, UpstreamError> {
         let context = backend_context();
         loop {
-            let decoded = PgWireBackendMessage::decode(&mut self.read, &context);
+            let decoded = PgWireBackendMessage::decode(&mut self.read_buffer, &context);
             match decoded {
                 Ok(Some(message)) => return Ok(message),
-                Ok(None) => self.fill().await?,
-                Err(error) => return ConfusedSnafu { text: error.to_string() }.fail(),
+                Ok(None) => self.fill_read_buffer().await?,
+                Err(error) => return ProtocolSnafu { text: error.to_string() }.fail(),
             }
         }
     }
 
-    async fn fill(&mut self) -> Result<(), UpstreamError> {
-        self.read.reserve(4_096);
-        match self.stream.read_buf(&mut self.read).await.context(BrokenSnafu)? {
+    async fn fill_read_buffer(&mut self) -> Result<(), UpstreamError> {
+        self.read_buffer.reserve(4_096);
+        match self.stream.read_buf(&mut self.read_buffer).await.context(BrokenSnafu)? {
             0 => ClosedSnafu.fail(),
             _ => Ok(()),
         }
@@ -289,28 +296,29 @@
         self.stream.write_all(bytes).await.context(BrokenSnafu)
     }
 
-    /// True if too many statements are prepared on the connection.
-    pub fn is_worn(&self) -> bool {
-        self.prepared.len() > MAX_PREPARED
+    /// True if more statements are prepared on the connection than it may keep.
+    pub fn has_too_many_statements(&self) -> bool {
+        self.prepared.len() > MAX_PREPARED_STATEMENTS
     }
 
-    /// True if nothing arrived and the peer did not close since the last use.
-    pub fn is_quiet(&self) -> bool {
+    /// True if the peer neither sent anything nor closed the connection since
+    /// its last use.
+    pub fn is_open_and_idle(&self) -> bool {
         let mut probe = [0; 1];
         let pending = self.stream.try_read(&mut probe);
         let would_block = |error: &std::io::Error| error.kind() == std::io::ErrorKind::WouldBlock;
-        self.read.is_empty() && pending.as_ref().is_err_and(would_block)
+        self.read_buffer.is_empty() && pending.as_ref().is_err_and(would_block)
     }
 }
 
 fn encode(message: &impl Message, bytes: &mut BytesMut) -> Result<(), UpstreamError> {
-    message.encode(bytes).map_err(|error| UpstreamError::Confused { text: error.to_string() })
+    message.encode(bytes).map_err(|error| UpstreamError::Protocol { text: error.to_string() })
 }
 
-/// Appends a simple query.
+/// Appends a `Query` message of the simple protocol.
 ///
 /// # Errors
-/// `UpstreamError::Confused` if the text is larger than the protocol allows.
+/// `UpstreamError::Protocol` if the text exceeds the size that the protocol allows.
 pub(crate) fn encode_query(sql: &str, bytes: &mut BytesMut) -> Result<(), UpstreamError> {
     encode(&Query::new(sql.to_owned()), bytes)
 }
@@ -318,10 +326,10 @@
 /// Appends a message of the extended protocol.
 ///
 /// # Errors
-/// `UpstreamError::Confused` if the message is larger than allowed.
+/// `UpstreamError::Protocol` if the message exceeds the size that the protocol allows.
 pub(crate) fn encode_frontend(
     message: &PgWireFrontendMessage,
     bytes: &mut BytesMut,
 ) -> Result<(), UpstreamError> {
-    message.encode(bytes).map_err(|error| UpstreamError::Confused { text: error.to_string() })
+    message.encode(bytes).map_err(|error| UpstreamError::Protocol { text: error.to_string() })
 }
--- a/crates/daemon/src/pg_upstreams/upstream_error.rs
+++ b/crates/daemon/src/pg_upstreams/upstream_error.rs
@@ -1,43 +1,43 @@
 use snafu::Snafu;
 
-/// What went wrong on a connection to a database.
+/// Errors on a connection to a database or to another host.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum UpstreamError {
     /// No connection could be opened.
-    #[snafu(display("no connection: {source}"))]
+    #[snafu(display("cannot connect: {source}"))]
     Connect {
-        /// What the system said.
+        /// Error of the connection attempt.
         source: std::io::Error,
     },
     /// The connection broke.
     #[snafu(display("the connection broke: {source}"))]
     Broken {
-        /// What the system said.
+        /// Error of the read or write.
         source: std::io::Error,
     },
     /// The database closed the connection.
     #[snafu(display("the database closed the connection"))]
     Closed,
-    /// The database refused the connection.
-    #[snafu(display("the database refused: {text}"))]
+    /// The database refused the connection or did not open a transaction.
+    #[snafu(display("refused by the database: {text}"))]
     Refused {
-        /// What it said.
+        /// Fields of its error message, or what it refused.
         text: String,
     },
-    /// The database took too long.
+    /// The database did not answer in time.
     #[snafu(display("the database did not answer in time"))]
-    Late,
-    /// The answer breaks the protocol.
-    #[snafu(display("the answer breaks the protocol: {text}"))]
-    Confused {
-        /// What was found.
+    TimedOut,
+    /// The answer violates the protocol, or a message cannot be encoded.
+    #[snafu(display("protocol error: {text}"))]
+    Protocol {
+        /// Description of the violation.
         text: String,
     },
-    /// The answer is larger than the proxy holds back.
-    #[snafu(display("the answer has more than {limit} bytes"))]
+    /// The answer exceeds the size that the proxy buffers.
+    #[snafu(display("the answer is larger than {limit} bytes"))]
     TooLarge {
-        /// The limit, in bytes.
+        /// Largest size buffered, in bytes.
         limit: usize,
     },
 }
--- a/crates/daemon/src/pg_upstreams/upstreams_service.rs
+++ b/crates/daemon/src/pg_upstreams/upstreams_service.rs
@@ -8,51 +8,51 @@
 
 use super::{
     ConnectionStore,
-    database_monitor::{DatabaseMonitor, give_order},
+    database_monitor::{DatabaseMonitor, send_order},
 };
 use crate::{kernel::HostClock, pg_host::HostMessage};
 
 /// Requests to the upstreams service.
 #[derive(Debug)]
 pub enum UpstreamsMessage {
-    /// Keep asking a database for its report.
+    /// Poll a database for reports, replacing any monitor it has.
     Watch {
-        /// The database.
+        /// Database to poll.
         database: DatabaseName,
-        /// Where it is.
+        /// Address at which it accepts connections.
         address: SocketAddr,
     },
-    /// Stop asking, and close idle connections.
+    /// Stop polling a database and close the idle connections to it.
     Unwatch(DatabaseName),
-    /// Give an order.
+    /// Send an order to a database and pass its answer to the host.
     Order {
-        /// The database.
+        /// Database that receives the order.
         database: DatabaseName,
-        /// Where it is.
+        /// Address at which it accepts connections.
         address: SocketAddr,
-        /// The order.
+        /// Order to send.
         order: DatabaseOrder,
     },
 }
 
-/// Watches databases and gives them orders.
+/// Actor that polls databases for reports and sends them orders.
 #[derive(Debug)]
 pub struct UpstreamsService;
 
-/// What the service needs at its start.
+/// Start arguments of the service.
 #[derive(Debug)]
 pub struct UpstreamsArguments {
-    /// Where reports go.
+    /// Receives the reports and the answers to orders.
     pub host: ActorRef<HostMessage>,
-    /// The host's clock.
+    /// Clock for the times at which reports are requested.
     pub clock: HostClock,
-    /// Idle connections, shared with callers' tasks.
+    /// Idle connections, shared with the tasks that serve callers.
     pub store: ConnectionStore,
-    /// Ends all monitors.
+    /// Stops all monitors.
     pub cancel: CancellationToken,
 }
 
-/// What the service holds while it runs.
+/// Running monitors of the service, by database.
 pub struct UpstreamsState {
     arguments: UpstreamsArguments,
     monitors: HashMap<DatabaseName, CancellationToken>,
@@ -78,10 +78,10 @@
         state: &mut UpstreamsState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            UpstreamsMessage::Watch { database, address } => state.watch(database, address),
-            UpstreamsMessage::Unwatch(database) => state.unwatch(&database),
+            UpstreamsMessage::Watch { database, address } => state.start_monitor(database, address),
+            UpstreamsMessage::Unwatch(database) => state.stop_monitor(&database),
             UpstreamsMessage::Order { database, address, order } => {
-                state.order(database, address, order);
+                state.send_order(database, address, order);
             }
         }
         Ok(())
@@ -89,9 +89,9 @@
 }
 
 impl UpstreamsState {
-    fn watch(&mut self, database: DatabaseName, address: SocketAddr) {
-        self.unwatch(&database);
-        log::info!(target: "upstreams", "Database {database} at {address} is watched.");
+    fn start_monitor(&mut self, database: DatabaseName, address: SocketAddr) {
+        self.stop_monitor(&database);
+        log::info!(target: "upstreams", "Polling database {database} at {address} for reports.");
         let cancel = self.arguments.cancel.child_token();
         let monitor = DatabaseMonitor {
             database: database.clone(),
@@ -104,24 +104,30 @@
         self.monitors.insert(database, cancel);
     }
 
-    fn unwatch(&mut self, database: &DatabaseName) {
+    fn stop_monitor(&mut self, database: &DatabaseName) {
         if let Some(cancel) = self.monitors.remove(database) {
             cancel.cancel();
         }
-        self.arguments.store.close(database);
+        self.arguments.store.close_idle(database);
     }
 
-    fn order(&self, database: DatabaseName, address: SocketAddr, order: DatabaseOrder) {
+    fn send_order(&self, database: DatabaseName, address: SocketAddr, order: DatabaseOrder) {
         let host = self.arguments.host.clone();
         tokio::spawn(async move {
-            match give_order(address, &order).await {
+            match send_order(address, &order).await {
                 Ok(status) => {
-                    log::debug!(target: "upstreams", "Database {database} took {order:?}.");
+                    log::debug!(
+                        target: "upstreams",
+                        "Database {database} answered {order:?}; passing its status to the host."
+                    );
                     let event = HostEvent::OrderAnswered { database, status };
                     let _ = host.send_message(HostMessage::Event(event));
                 }
                 Err(error) => {
-                    log::debug!(target: "upstreams", "Database {database}: {order:?}: {error}.");
+                    log::debug!(
+                        target: "upstreams",
+                        "{order:?} of database {database} failed; no status to pass on: {error}."
+                    );
                 }
             }
         });
