--- a/crates/daemon/src/pg_callers/caller_error.rs
+++ b/crates/daemon/src/pg_callers/caller_error.rs
@@ -1,51 +1,51 @@
 use hawthornstack_decisions::outcomes::ResultCode;
 use snafu::Snafu;
 
-/// What ends a caller's connection.
+/// Errors that end a caller's connection.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum CallerError {
     /// The connection broke.
     #[snafu(display("the connection broke: {source}"))]
     Broken {
-        /// What the system said.
+        /// Error of the read or write.
         source: std::io::Error,
     },
     /// The caller closed the connection.
-    #[snafu(display("the caller is gone"))]
-    Gone,
-    /// The caller took too long to start.
+    #[snafu(display("the caller closed the connection"))]
+    Closed,
+    /// The caller did not finish its start-up in time.
     #[snafu(display("the caller did not finish its start-up in time"))]
-    StartupLate,
-    /// A message is larger than accepted.
+    StartupTimedOut,
+    /// A message exceeds the size limit.
     #[snafu(display("a message of {bytes} bytes is larger than the {limit} accepted"))]
     TooLarge {
-        /// Length found.
+        /// Length that the message states, in bytes.
         bytes: usize,
-        /// The limit.
+        /// Largest length accepted, in bytes.
         limit: usize,
     },
-    /// A message breaks the protocol.
+    /// A message violates the protocol.
     #[snafu(display("{text}"))]
     Protocol {
-        /// What was found.
+        /// Description of the violation.
         text: String,
     },
-    /// The caller was refused at its start.
+    /// The connection is refused at start-up or closed by this host.
     #[snafu(display("{text}"))]
     Refused {
-        /// The result.
+        /// Result code sent to the caller.
         code: ResultCode,
-        /// What is wrong.
+        /// Reason sent to the caller.
         text: String,
     },
 }
 
 impl CallerError {
-    /// The result code that the caller is told, if it can still be told.
+    /// Result code to send to the caller; `None` if it cannot receive one.
     pub fn result_code(&self) -> Option<ResultCode> {
         match self {
-            Self::Broken { .. } | Self::Gone | Self::StartupLate => None,
+            Self::Broken { .. } | Self::Closed | Self::StartupTimedOut => None,
             Self::TooLarge { .. } | Self::Protocol { .. } => Some(ResultCode::ProtocolViolation),
             Self::Refused { code, .. } => Some(*code),
         }
--- a/crates/daemon/src/pg_callers/caller_listener.rs
+++ b/crates/daemon/src/pg_callers/caller_listener.rs
@@ -16,10 +16,10 @@
     pg_upstreams::ConnectionStore,
 };
 
-/// Time for which idle callers may stay once callers are to leave.
+/// Time for which idle callers stay connected once shutdown or draining begins.
 const IDLE_GRACE: Duration = Duration::from_secs(3);
 
-/// Groups in which this daemon has seen the table of keyed requests.
+/// Groups in which this daemon knows the table of keyed requests to exist.
 #[derive(Debug, Clone, Default)]
 pub struct KeyedGroups(Arc<Mutex<HashSet<GroupName>>>);
 
@@ -33,44 +33,46 @@
     }
 }
 
-/// What every caller's task shares.
+/// State shared by the tasks that serve callers.
 #[derive(Clone)]
 pub struct CallerContext {
-    /// The host's decisions.
+    /// Actor that holds the host's decisions.
     pub host: ActorRef<HostMessage>,
-    /// The host's clock.
+    /// Clock for the deadlines of requests.
     pub clock: HostClock,
     /// Idle connections to databases.
     pub store: ConnectionStore,
-    /// Numbers of requests.
+    /// Numbers requests.
     pub numbers: RequestNumbers,
-    /// Callers that can be cancelled.
+    /// Callers whose requests can be cancelled.
     pub cancels: CancelRegistry,
-    /// Idle connections to homes.
+    /// Idle connections to gateway hosts.
     pub forwards: ForwardStore,
-    /// Groups whose table of keyed requests is known to exist.
+    /// Groups that need no check for the table of keyed requests.
     pub keyed_groups: KeyedGroups,
-    /// Key of session tokens.
+    /// Key that signs session tokens.
     pub token_key: TokenKey,
-    /// Cancelled when idle callers are to leave for good.
+    /// Cancelled at shutdown: no caller is accepted any more, and idle callers
+    /// are disconnected.
     pub closing: CancellationToken,
     /// True while an operator drains this host.
     pub draining: watch::Receiver<bool>,
 }
 
 impl CallerContext {
-    /// True if callers are to leave.
-    pub(super) fn is_leaving(&self) -> bool {
+    /// True if callers outside a transaction are to be disconnected.
+    pub(super) fn is_closing_or_draining(&self) -> bool {
         self.closing.is_cancelled() || *self.draining.borrow()
     }
 
-    /// Waits until callers that stayed idle are to be let go.
-    pub(super) async fn idle_end(&self) {
-        self.leaving().await;
+    /// Waits until idle callers are to be disconnected: `IDLE_GRACE` after
+    /// shutdown or draining begins.
+    pub(super) async fn wait_idle_grace(&self) {
+        self.wait_for_closing_or_draining().await;
         sleep(IDLE_GRACE).await;
     }
 
-    async fn leaving(&self) {
+    async fn wait_for_closing_or_draining(&self) {
         let mut draining = self.draining.clone();
         tokio::select! {
             () = self.closing.cancelled() => {}
@@ -79,20 +81,20 @@
     }
 }
 
-/// Accepts callers.
+/// Accepts callers and serves each one in its own task.
 pub struct CallerListener {
-    /// The open port.
+    /// Socket bound to the port for callers.
     pub listener: TcpListener,
-    /// What callers' tasks share.
+    /// State shared by the tasks that serve callers.
     pub context: CallerContext,
-    /// Counts callers' tasks.
+    /// Tracks the tasks that serve callers.
     pub tasks: TaskTracker,
-    /// Ends accepting, and every caller's task at once.
+    /// Stops the listener and all tasks that serve callers at once.
     pub cancel: CancellationToken,
 }
 
 impl CallerListener {
-    /// Accepts callers until cancelled or closing.
+    /// Accepts callers until cancelled or until shutdown begins.
     pub async fn run(self) {
         let context = Arc::new(self.context);
         loop {
--- a/crates/daemon/src/pg_callers/caller_session.rs
+++ b/crates/daemon/src/pg_callers/caller_session.rs
@@ -17,30 +17,31 @@
     caller_state::{CallerState, Refusal},
     caller_stream::CallerStream,
     cancel_registry::CancelTicket,
-    extended_batch::{BatchItem, ExtendedBatch, is_local, is_read, last_query},
-    request_runner::{RequestRunner, RequestWork, RunEnd, perform},
-    transaction::{TransactionPlace, TransactionState},
+    extended_batch::{BatchItem, ExtendedBatch, is_local, is_read_only, last_query},
+    request_runner::{RequestRunner, RequestWork, RunOutcome, run_work},
+    transaction::{TransactionState, TransactionTarget},
 };
 use crate::pg_upstreams::FORWARD_PARAMETER;
 
-/// Time within which a caller must finish its start-up.
+/// Timeout for the start-up of a caller.
 const STARTUP_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
-/// Version of PostgreSQL whose protocol is spoken.
+/// PostgreSQL version whose protocol is spoken, as reported to callers.
 const SERVER_VERSION: &str = "15.0 (hawthornstack)";
-/// Name of the parameter that hands the session token to the caller.
+/// Parameter whose status messages send the session token to the caller.
 pub(super) const TOKEN_PARAMETER: &str = "hawthornstack.token";
 
-/// What a caller's first packets ask for.
+/// Request in a caller's start-up packets.
 enum StartupRequest {
     Session(Startup),
+    /// A cancel request, already executed.
     Cancelled,
 }
 
 /// How one statement ended.
-enum StatementEnd {
-    /// The answer is written.
+enum StatementOutcome {
+    /// The answer is buffered.
     Done,
-    /// An error is written; the rest of the batch is skipped.
+    /// An error is buffered; the rest of the batch is skipped.
     Failed,
 }
 
@@ -55,19 +56,19 @@
 }
 
 impl CallerSession {
-    /// Serves a connection until the caller leaves or is refused.
+    /// Serves a connection until the caller disconnects or is refused.
     pub(super) async fn serve(stream: TcpStream, context: Arc<CallerContext>) {
         let _ = stream.set_nodelay(true);
         let mut stream = CallerStream::new(stream);
-        let started = timeout(STARTUP_TIMEOUT, read_startup(&mut stream, &context)).await;
-        let opened = match started.unwrap_or(Err(CallerError::StartupLate)) {
+        let started = timeout(STARTUP_TIMEOUT, read_startup_request(&mut stream, &context)).await;
+        let opened = match started.unwrap_or(Err(CallerError::StartupTimedOut)) {
             Ok(StartupRequest::Cancelled) => return,
-            Ok(StartupRequest::Session(startup)) => open_state(&startup, &context),
+            Ok(StartupRequest::Session(startup)) => create_state(&startup, &context),
             Err(error) => Err(error),
         };
         let state = match opened {
             Ok(state) => state,
-            Err(error) => return refuse(&mut stream, &error).await,
+            Err(error) => return send_fatal_error(&mut stream, &error).await,
         };
         let mut session = Self {
             stream,
@@ -77,48 +78,49 @@
             transaction: TransactionState::Idle,
             answer: AnswerWriter::default(),
         };
-        if let Err(error) = session.converse().await {
-            refuse(&mut session.stream, &error).await;
+        if let Err(error) = session.serve_messages().await {
+            send_fatal_error(&mut session.stream, &error).await;
         }
     }
 
-    async fn converse(&mut self) -> Result<(), CallerError> {
+    async fn serve_messages(&mut self) -> Result<(), CallerError> {
         self.stream.expect_messages();
-        self.greet();
-        self.ready().await?;
+        self.write_startup_answer();
+        self.send_ready().await?;
         let mut batch = ExtendedBatch::default();
-        let mut refused = false;
+        let mut skip_until_sync = false;
         loop {
             let message = tokio::select! {
-                () = self.context.idle_end(), if self.is_idle() => return shutting_down(),
-                message = self.stream.next() => message?,
+                () = self.context.wait_idle_grace(), if self.is_idle() => return end_for_shutdown(),
+                message = self.stream.read_message() => message?,
             };
-            // A caller that goes on is told with its next request, which then
-            // certainly did not run; an unasked word could cross a request.
-            let ends = matches!(message, PgWireFrontendMessage::Terminate(_));
-            if self.is_idle() && self.context.is_leaving() && !ends {
-                return shutting_down();
+            // An active caller gets the shutdown error as the answer to its next
+            // request, which then certainly did not run. An unsolicited error
+            // could cross a request that the caller has just sent.
+            let terminates = matches!(message, PgWireFrontendMessage::Terminate(_));
+            if self.is_idle() && self.context.is_closing_or_draining() && !terminates {
+                return end_for_shutdown();
             }
             match message {
                 PgWireFrontendMessage::Query(query) => {
-                    self.simple_query(&query.query).await?;
-                    self.ready().await?;
+                    self.run_simple_query(&query.query).await?;
+                    self.send_ready().await?;
                 }
                 PgWireFrontendMessage::Sync(_) => {
-                    let full = std::mem::take(&mut batch);
-                    if !std::mem::take(&mut refused) {
-                        self.extended_batch(&full).await?;
+                    let complete = std::mem::take(&mut batch);
+                    if !std::mem::take(&mut skip_until_sync) {
+                        self.run_extended_batch(&complete).await?;
                     }
-                    self.ready().await?;
+                    self.send_ready().await?;
                 }
                 PgWireFrontendMessage::Terminate(_) => return Ok(()),
                 message if message.is_extended_query() => {
-                    if refused {
+                    if skip_until_sync {
                         continue;
                     }
                     if let Err(refusal) = batch.add(message, &mut self.state) {
-                        refused = true;
-                        self.answer.error("ERROR", refusal.code, &refusal.text);
+                        skip_until_sync = true;
+                        self.answer.write_error("ERROR", refusal.code, &refusal.text);
                     }
                 }
                 _ => return ProtocolSnafu { text: "unexpected message" }.fail(),
@@ -130,8 +132,8 @@
         matches!(self.transaction, TransactionState::Idle)
     }
 
-    fn greet(&mut self) {
-        self.answer.authenticated();
+    fn write_startup_answer(&mut self) {
+        self.answer.write_authentication_ok();
         let parameters = [
             ("server_version", SERVER_VERSION),
             ("server_encoding", "UTF8"),
@@ -142,230 +144,232 @@
             ("standard_conforming_strings", "on"),
         ];
         for (name, value) in parameters {
-            self.answer.parameter(name, value);
+            self.answer.write_parameter(name, value);
         }
         let session = self.state.session.to_string();
-        self.answer.parameter("hawthornstack.session", &session);
-        self.answer.key_data(self.ticket.id, self.ticket.secret);
+        self.answer.write_parameter("hawthornstack.session", &session);
+        self.answer.write_key_data(self.ticket.id, self.ticket.secret);
     }
 
-    /// Ends an answer and sends it.
-    async fn ready(&mut self) -> Result<(), CallerError> {
-        self.answer.ready(self.transaction.status());
+    /// Ends the buffered answer with `ReadyForQuery` and sends it.
+    async fn send_ready(&mut self) -> Result<(), CallerError> {
+        self.answer.write_ready(self.transaction.status());
         self.stream.write(&mut self.answer.bytes).await
     }
 
-    fn fail(&mut self, code: ResultCode) -> StatementEnd {
-        self.answer.result(code);
-        StatementEnd::Failed
+    fn write_failure(&mut self, code: ResultCode) -> StatementOutcome {
+        self.answer.write_result_error(code);
+        StatementOutcome::Failed
     }
 
-    fn refuse(&mut self, refusal: &Refusal) -> StatementEnd {
-        self.answer.error("ERROR", refusal.code, &refusal.text);
-        StatementEnd::Failed
+    fn write_refusal(&mut self, refusal: &Refusal) -> StatementOutcome {
+        self.answer.write_error("ERROR", refusal.code, &refusal.text);
+        StatementOutcome::Failed
     }
 
-    async fn simple_query(&mut self, sql: &str) -> Result<(), CallerError> {
+    async fn run_simple_query(&mut self, sql: &str) -> Result<(), CallerError> {
         match classify(sql) {
-            StatementClass::Empty => self.answer.empty_query(),
+            StatementClass::Empty => self.answer.write_empty_query(),
             StatementClass::Unsupported => {
-                self.fail(ResultCode::NotSupported);
+                self.write_failure(ResultCode::NotSupported);
             }
             class if is_local(&class) => {
-                self.local_statement(sql, &class).await?;
+                self.run_local_statement(sql, &class).await?;
             }
             class => {
                 let writes = class != StatementClass::Read;
-                self.database_work(RequestWork::Simple(sql), Some(sql), writes).await?;
+                self.run_database_work(RequestWork::Simple(sql), Some(sql), writes).await?;
             }
         }
         Ok(())
     }
 
-    async fn extended_batch(&mut self, batch: &ExtendedBatch) -> Result<(), CallerError> {
-        for items in batch.runs() {
-            let end = match items.first().is_some_and(BatchItem::is_local) {
-                true => self.local_run(items).await?,
+    async fn run_extended_batch(&mut self, batch: &ExtendedBatch) -> Result<(), CallerError> {
+        for items in batch.split_runs() {
+            let outcome = match items.first().is_some_and(BatchItem::is_local) {
+                true => self.answer_items(items).await?,
                 false => {
                     let work = RequestWork::Batch(items);
-                    self.database_work(work, last_query(items), !is_read(items)).await?
+                    self.run_database_work(work, last_query(items), !is_read_only(items)).await?
                 }
             };
-            if matches!(end, StatementEnd::Failed) {
+            if matches!(outcome, StatementOutcome::Failed) {
                 break;
             }
         }
         Ok(())
     }
 
-    async fn local_run(&mut self, items: &[BatchItem]) -> Result<StatementEnd, CallerError> {
+    async fn answer_items(&mut self, items: &[BatchItem]) -> Result<StatementOutcome, CallerError> {
         for item in items {
             match item {
-                BatchItem::Parse(_) => self.answer.parse_complete(),
-                BatchItem::Bind(..) => self.answer.bind_complete(),
+                BatchItem::Parse(_) => self.answer.write_parse_complete(),
+                BatchItem::Bind(..) => self.answer.write_bind_complete(),
                 BatchItem::DescribeStatement(statement) => {
-                    self.answer.no_parameters();
-                    self.describe_local(&statement.class);
+                    self.answer.write_no_parameters();
+                    self.write_local_description(&statement.class);
                 }
-                BatchItem::DescribePortal(_, class) => self.describe_local(class),
+                BatchItem::DescribePortal(_, class) => self.write_local_description(class),
                 BatchItem::Execute(_, class) => {
                     let sql = last_query(items).unwrap_or_default();
-                    let end = self.local_execution(sql, class).await?;
-                    if matches!(end, StatementEnd::Failed) {
-                        return Ok(end);
+                    let outcome = self.execute_local(sql, class).await?;
+                    if matches!(outcome, StatementOutcome::Failed) {
+                        return Ok(outcome);
                     }
                 }
                 BatchItem::ClosePortal(_) | BatchItem::CloseStatement => {
-                    self.answer.close_complete();
+                    self.answer.write_close_complete();
                 }
             }
         }
-        Ok(StatementEnd::Done)
+        Ok(StatementOutcome::Done)
     }
 
-    fn describe_local(&mut self, class: &StatementClass) {
+    fn write_local_description(&mut self, class: &StatementClass) {
         match class {
-            StatementClass::Show(name) => self.answer.text_column(name),
-            _ => self.answer.no_data(),
+            StatementClass::Show(name) => self.answer.write_text_column(name),
+            _ => self.answer.write_no_data(),
         }
     }
 
-    /// Runs a statement that the proxy answers itself, for the simple
-    /// protocol.
-    async fn local_statement(
+    /// Runs a statement of the simple protocol that the proxy answers itself.
+    async fn run_local_statement(
         &mut self,
         sql: &str,
         class: &StatementClass,
-    ) -> Result<StatementEnd, CallerError> {
+    ) -> Result<StatementOutcome, CallerError> {
         if let StatementClass::Show(name) = class {
-            self.answer.text_column(name);
+            self.answer.write_text_column(name);
         }
-        self.local_execution(sql, class).await
+        self.execute_local(sql, class).await
     }
 
-    async fn local_execution(
+    async fn execute_local(
         &mut self,
         sql: &str,
         class: &StatementClass,
-    ) -> Result<StatementEnd, CallerError> {
+    ) -> Result<StatementOutcome, CallerError> {
         match class {
-            StatementClass::Begin { read_only } => self.begin(sql, *read_only),
+            StatementClass::Begin { read_only } => self.begin_transaction(sql, *read_only),
             StatementClass::Commit | StatementClass::Rollback => {
                 return Ok(self.end_transaction(sql).await);
             }
             StatementClass::Set(assignment) => {
                 let key = &self.context.token_key;
                 if let Err(refusal) = self.state.set(&assignment.name, &assignment.value, key) {
-                    return Ok(self.refuse(&refusal));
+                    return Ok(self.write_refusal(&refusal));
                 }
-                self.answer.complete("SET");
+                self.answer.write_command_complete("SET");
             }
             StatementClass::Show(name) => {
-                let shown = self.state.show(name, &self.context.token_key);
-                self.answer.text_value(&shown.unwrap_or_default());
+                let shown = self.state.show_setting(name, &self.context.token_key);
+                self.answer.write_show_value(&shown.unwrap_or_default());
             }
             _ => {}
         }
-        Ok(StatementEnd::Done)
+        Ok(StatementOutcome::Done)
     }
 
-    fn begin(&mut self, sql: &str, read_only: bool) {
+    fn begin_transaction(&mut self, sql: &str, read_only: bool) {
         if let TransactionState::Idle = self.transaction {
             self.transaction = TransactionState::Begun { sql: Arc::from(sql), read_only };
         }
-        self.answer.complete("BEGIN");
+        self.answer.write_command_complete("BEGIN");
     }
 
-    async fn end_transaction(&mut self, sql: &str) -> StatementEnd {
-        let word = match classify(sql) {
+    async fn end_transaction(&mut self, sql: &str) -> StatementOutcome {
+        let tag = match classify(sql) {
             StatementClass::Commit => "COMMIT",
             _ => "ROLLBACK",
         };
         match std::mem::replace(&mut self.transaction, TransactionState::Idle) {
-            TransactionState::Idle | TransactionState::Begun { .. } => self.answer.complete(word),
-            TransactionState::Failed => self.answer.complete("ROLLBACK"),
+            TransactionState::Idle | TransactionState::Begun { .. } => {
+                self.answer.write_command_complete(tag)
+            }
+            TransactionState::Failed => self.answer.write_command_complete("ROLLBACK"),
             TransactionState::Open(open) => {
                 let runner = RequestRunner { context: &self.context, cancel: &self.ticket };
-                let mark = self.state.mark;
-                match runner.end_transaction(&mut self.state, *open, word).await {
+                let position_before = self.state.session_position;
+                match runner.end_transaction(&mut self.state, *open, tag).await {
                     Ok(answer) => {
-                        self.announce_token(mark);
-                        self.answer.raw(&answer.bytes);
+                        self.announce_token(position_before);
+                        self.answer.write_frame(&answer.bytes);
                     }
-                    Err(code) => return self.fail(code),
+                    Err(code) => return self.write_failure(code),
                 }
             }
         }
-        StatementEnd::Done
+        StatementOutcome::Done
     }
 
-    /// Hands out a new token if the mark moved.
+    /// Sends the caller a new session token if the session position advanced.
     fn announce_token(&mut self, before: hawthornstack_decisions::positions::LogPosition) {
-        if self.state.mark > before {
-            let token = self.state.token(&self.context.token_key);
-            self.answer.parameter(TOKEN_PARAMETER, &token);
+        if self.state.session_position > before {
+            let token = self.state.encode_token(&self.context.token_key);
+            self.answer.write_parameter(TOKEN_PARAMETER, &token);
         }
     }
 
-    async fn database_work(
+    async fn run_database_work(
         &mut self,
         work: RequestWork<'_>,
         sql: Option<&str>,
         writes: bool,
-    ) -> Result<StatementEnd, CallerError> {
+    ) -> Result<StatementOutcome, CallerError> {
         match self.transaction {
-            TransactionState::Idle => Ok(self.autocommit(work, sql, writes).await),
-            TransactionState::Failed => Ok(self.fail(ResultCode::TransactionLost)),
+            TransactionState::Idle => Ok(self.run_autocommit(work, sql, writes).await),
+            TransactionState::Failed => Ok(self.write_failure(ResultCode::TransactionLost)),
             TransactionState::Begun { .. } | TransactionState::Open(_) => {
-                Ok(self.inside_transaction(work, writes).await)
+                Ok(self.run_in_transaction(work, writes).await)
             }
         }
     }
 
-    /// Runs work outside a transaction, under the settings of its hints.
-    async fn autocommit(
+    /// Runs work outside a transaction, with the settings in its hints.
+    async fn run_autocommit(
         &mut self,
         work: RequestWork<'_>,
         sql: Option<&str>,
         writes: bool,
-    ) -> StatementEnd {
-        let kept = (self.state.max_age, self.state.request_key.clone(), self.state.timeout);
+    ) -> StatementOutcome {
+        let session_settings =
+            (self.state.max_age, self.state.request_key.clone(), self.state.timeout);
         if let Some(sql) = sql
-            && let Err(refusal) = self.take_hints(sql)
+            && let Err(refusal) = self.apply_hints(sql)
         {
-            return self.refuse(&refusal);
+            return self.write_refusal(&refusal);
         }
         let kind = self.state.request_kind(writes);
-        let mark = self.state.mark;
+        let position_before = self.state.session_position;
         let runner = RequestRunner { context: &self.context, cancel: &self.ticket };
         let key = self.state.request_key.clone().filter(|_| writes);
-        let used = key.is_some();
-        let end = tokio::select! {
-            end = runner.run_write_or_read(&mut self.state, work, kind, key) => Some(end),
-            _ = self.stream.closed() => None,
+        let has_key = key.is_some();
+        let outcome = tokio::select! {
+            outcome = runner.run_autocommit(&mut self.state, work, kind, key) => Some(outcome),
+            _ = self.stream.wait_for_close() => None,
         };
-        (self.state.max_age, self.state.request_key, self.state.timeout) = kept;
-        if used {
-            // A key names one write; the next one needs a key of its own.
+        (self.state.max_age, self.state.request_key, self.state.timeout) = session_settings;
+        if has_key {
+            // A request key is valid for one write; the next write needs its own.
             self.state.request_key = None;
         }
-        match end {
-            Some(RunEnd::Answered(answer)) => {
-                self.announce_token(mark);
-                self.answer.raw(&answer.bytes);
-                StatementEnd::Done
+        match outcome {
+            Some(RunOutcome::Answered(answer)) => {
+                self.announce_token(position_before);
+                self.answer.write_frame(&answer.bytes);
+                StatementOutcome::Done
             }
-            Some(RunEnd::Refused(code)) => self.fail(code),
-            Some(RunEnd::Busy(code, wait)) => {
+            Some(RunOutcome::Refused(code)) => self.write_failure(code),
+            Some(RunOutcome::Busy(code, wait)) => {
                 let text = format!("{} Send it again after {} ms.", code.text(), wait.as_millis());
-                self.answer.error("ERROR", code, &text);
-                StatementEnd::Failed
+                self.answer.write_error("ERROR", code, &text);
+                StatementOutcome::Failed
             }
-            None => StatementEnd::Failed,
+            None => StatementOutcome::Failed,
         }
     }
 
-    fn take_hints(&mut self, sql: &str) -> Result<(), Refusal> {
+    fn apply_hints(&mut self, sql: &str) -> Result<(), Refusal> {
         let hints = read_hints(sql)
             .map_err(|error| Refusal { code: ResultCode::BadSetting, text: error.to_string() })?;
         for hint in hints {
@@ -374,7 +378,11 @@
         Ok(())
     }
 
-    async fn inside_transaction(&mut self, work: RequestWork<'_>, writes: bool) -> StatementEnd {
+    async fn run_in_transaction(
+        &mut self,
+        work: RequestWork<'_>,
+        writes: bool,
+    ) -> StatementOutcome {
         if let TransactionState::Begun { sql, read_only } = &self.transaction {
             let (sql, read_only) = (sql.clone(), *read_only);
             let runner = RequestRunner { context: &self.context, cancel: &self.ticket };
@@ -382,59 +390,59 @@
                 Ok(open) => self.transaction = TransactionState::Open(Box::new(open)),
                 Err(code) => {
                     self.transaction = TransactionState::Failed;
-                    return self.fail(code);
+                    return self.write_failure(code);
                 }
             }
         }
         let TransactionState::Open(open) = &mut self.transaction else {
-            return StatementEnd::Failed;
+            return StatementOutcome::Failed;
         };
         if open.read_only && writes {
-            return self.fail(ResultCode::ReadOnlySession);
+            return self.write_failure(ResultCode::ReadOnlySession);
         }
-        let performed = tokio::select! {
+        let executed = tokio::select! {
             () = self.ticket.notify.notified() => None,
-            performed = timeout(self.state.timeout, perform(work, &mut open.connection, false)) => {
-                performed.ok().and_then(Result::ok)
+            executed = timeout(self.state.timeout, run_work(work, &mut open.connection, false)) => {
+                executed.ok().and_then(Result::ok)
             }
         };
-        match performed {
+        match executed {
             Some(done) if done.segment.status != b'I' => {
                 open.status = done.segment.status;
-                self.answer.raw(&done.answer.bytes);
+                self.answer.write_frame(&done.answer.bytes);
                 match done.segment.failed {
-                    true => StatementEnd::Failed,
-                    false => StatementEnd::Done,
+                    true => StatementOutcome::Failed,
+                    false => StatementOutcome::Done,
                 }
             }
             _ => {
-                if let TransactionPlace::Database { handle, .. } = &mut open.place {
+                if let TransactionTarget::Database { handle, .. } = &mut open.target {
                     handle.report(ExecutionReport::RolledBack);
                 }
                 self.transaction = TransactionState::Failed;
-                self.fail(ResultCode::TransactionLost)
+                self.write_failure(ResultCode::TransactionLost)
             }
         }
     }
 }
 
-fn shutting_down() -> Result<(), CallerError> {
+fn end_for_shutdown() -> Result<(), CallerError> {
     let code = ResultCode::ShuttingDown;
     RefusedSnafu { code, text: code.text() }.fail()
 }
 
-async fn read_startup(
+async fn read_startup_request(
     stream: &mut CallerStream,
     context: &CallerContext,
 ) -> Result<StartupRequest, CallerError> {
     loop {
-        match stream.next().await? {
+        match stream.read_message().await? {
             PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::None) => {
                 stream.expect_startup();
             }
             PgWireFrontendMessage::SslNegotiation(_) => {
-                let mut no = bytes::BytesMut::from(&b"N"[..]);
-                stream.write(&mut no).await?;
+                let mut tls_refusal = bytes::BytesMut::from(&b"N"[..]);
+                stream.write(&mut tls_refusal).await?;
             }
             PgWireFrontendMessage::CancelRequest(request) => {
                 if let Some(secret) = request.secret_key.as_i32() {
@@ -448,9 +456,9 @@
     }
 }
 
-/// Reads group, session and settings from the start-up parameters, and from
+/// Creates the session's state from the start-up parameters and from
 /// `-c name=value` in `options`.
-fn open_state(startup: &Startup, context: &CallerContext) -> Result<CallerState, CallerError> {
+fn create_state(startup: &Startup, context: &CallerContext) -> Result<CallerState, CallerError> {
     let parameters = &startup.parameters;
     let user = parameters.get("user").cloned().unwrap_or_default();
     let database = parameters.get("database").unwrap_or(&user);
@@ -478,13 +486,13 @@
     Ok(state)
 }
 
-/// Tells the caller why its connection ends, if it can still be told.
-async fn refuse(stream: &mut CallerStream, error: &CallerError) {
-    log::debug!(target: "callers", "A connection ends: {error}.");
+/// Sends the caller the reason why its connection ends, if it can still be sent.
+async fn send_fatal_error(stream: &mut CallerStream, error: &CallerError) {
+    log::debug!(target: "callers", "Closing the connection of a caller: {error}.");
     if let Some(code) = error.result_code() {
         let mut answer = AnswerWriter::default();
-        answer.error("FATAL", code, &error.to_string());
+        answer.write_error("FATAL", code, &error.to_string());
         let _ = stream.write(&mut answer.bytes).await;
-        stream.linger().await;
+        stream.close_gracefully().await;
     }
 }
--- a/crates/daemon/src/pg_callers/caller_state.rs
+++ b/crates/daemon/src/pg_callers/caller_state.rs
@@ -11,13 +11,12 @@
 
 use super::forward_state::{FORWARD_SETTING, ForwardedState};
 
-/// Time within which a statement must be answered, unless the caller says
-/// otherwise.
+/// Timeout of a statement unless the caller sets another.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Settings of PostgreSQL that callers may set; they change nothing on the
-/// databases and are accepted as they are.
-const HARMLESS_SETTINGS: [&str; 9] = [
+/// PostgreSQL settings that callers may set without effect: they are accepted
+/// and change nothing on the databases.
+const IGNORED_SETTINGS: [&str; 9] = [
     "application_name",
     "bytea_output",
     "client_encoding",
@@ -29,26 +28,28 @@
     "timezone",
 ];
 
-/// A statement that the caller prepared.
+/// Statement that the caller prepared.
 #[derive(Debug, Clone)]
 pub(super) struct PreparedStatement {
     pub(super) query: Arc<str>,
-    pub(super) types: Vec<u32>,
+    pub(super) type_oids: Vec<u32>,
     pub(super) class: StatementClass,
-    /// Name under which it is prepared on connections to databases.
+    /// Name under which it is prepared on connections to databases; empty for
+    /// the unnamed statement.
     pub(super) key: Box<str>,
 }
 
-/// A caller's session: its settings, its mark and its prepared statements.
+/// State of a caller's session: settings, session position and prepared statements.
 #[derive(Debug)]
 pub(super) struct CallerState {
     pub(super) group: GroupName,
     pub(super) session: SessionId,
-    /// The caller named its session, so that other proxies may serve it too.
+    /// The caller named its session, so other proxies may serve it too.
     pub(super) named: bool,
-    /// Name under which the caller's requests take turns.
+    /// Waiting requests of different users take turns.
     pub(super) user: Arc<str>,
-    pub(super) mark: LogPosition,
+    /// Log position that the session's next read must see.
+    pub(super) session_position: LogPosition,
     pub(super) max_age: Option<Duration>,
     pub(super) request_key: Option<Arc<str>>,
     pub(super) timeout: Duration,
@@ -57,7 +58,7 @@
     pub(super) prepared: HashMap<String, PreparedStatement>,
 }
 
-/// A refused setting.
+/// Error for a setting that is refused.
 #[derive(Debug)]
 pub(super) struct Refusal {
     pub(super) code: ResultCode,
@@ -71,7 +72,7 @@
             session,
             named: false,
             user: Arc::from(user),
-            mark: LogPosition::default(),
+            session_position: LogPosition::default(),
             max_age: None,
             request_key: None,
             timeout: DEFAULT_TIMEOUT,
@@ -80,14 +81,14 @@
         }
     }
 
-    /// Changes one setting for the rest of the session; nothing changes if it
-    /// is refused.
+    /// Changes one setting for the rest of the session; a refused setting
+    /// changes nothing.
     pub(super) fn set(&mut self, name: &str, value: &str, key: &TokenKey) -> Result<(), Refusal> {
         if name == FORWARD_SETTING {
-            return self.take_forwarded_state(value);
+            return self.apply_forwarded_state(value);
         }
-        let Some(own) = name.strip_prefix(SETTING_PREFIX) else {
-            if HARMLESS_SETTINGS.contains(&name) {
+        let Some(setting_name) = name.strip_prefix(SETTING_PREFIX) else {
+            if IGNORED_SETTINGS.contains(&name) {
                 return Ok(());
             }
             let text = format!(
@@ -95,52 +96,53 @@
             );
             return Err(Refusal { code: ResultCode::NotSupported, text });
         };
-        let setting = CallerSetting::parse(own, value)
+        let setting = CallerSetting::parse(setting_name, value)
             .map_err(|error| Refusal { code: ResultCode::BadSetting, text: error.to_string() })?;
         self.apply(setting, key)
     }
 
-    /// Applies a checked setting.
+    /// Applies a setting that is already parsed.
     pub(super) fn apply(&mut self, setting: CallerSetting, key: &TokenKey) -> Result<(), Refusal> {
         match setting {
             CallerSetting::MaxAge(age) => self.max_age = age,
             CallerSetting::Session(session) => {
                 if session != self.session {
-                    self.mark = LogPosition::default();
+                    self.session_position = LogPosition::default();
                 }
                 self.session = session;
                 self.named = true;
             }
             CallerSetting::RequestKey(request_key) => self.request_key = request_key,
-            CallerSetting::Token(text) => self.take_token(&text, key)?,
+            CallerSetting::Token(text) => self.apply_token(&text, key)?,
             CallerSetting::Timeout(timeout) => self.timeout = timeout,
         }
         Ok(())
     }
 
-    fn take_token(&mut self, text: &str, key: &TokenKey) -> Result<(), Refusal> {
+    fn apply_token(&mut self, text: &str, key: &TokenKey) -> Result<(), Refusal> {
         let token = SessionToken::decode(text, key, &self.group)
             .map_err(|error| Refusal { code: ResultCode::BadToken, text: error.to_string() })?;
         if token.session == self.session {
-            self.mark = self.mark.max(token.position);
+            self.session_position = self.session_position.max(token.position);
         } else {
             self.session = token.session;
-            self.mark = token.position;
+            self.session_position = token.position;
             self.named = true;
         }
         Ok(())
     }
 
-    /// Takes the mark of a token that a home handed out for this session.
-    pub(super) fn take_forwarded_token(&mut self, token: Option<String>, key: &TokenKey) {
-        let read = token.and_then(|text| SessionToken::decode(&text, key, &self.group).ok());
-        if let Some(token) = read {
-            self.mark = self.mark.max(token.position);
+    /// Advances the session position to that of a token that a gateway issued
+    /// for this session; an invalid token is ignored.
+    pub(super) fn apply_forwarded_token(&mut self, token: Option<String>, key: &TokenKey) {
+        let decoded = token.and_then(|text| SessionToken::decode(&text, key, &self.group).ok());
+        if let Some(token) = decoded {
+            self.session_position = self.session_position.max(token.position);
         }
     }
 
-    /// The text of a setting, for `SHOW`.
-    pub(super) fn show(&self, name: &str, key: &TokenKey) -> Option<String> {
+    /// Value of a setting as text, for `SHOW`.
+    pub(super) fn show_setting(&self, name: &str, key: &TokenKey) -> Option<String> {
         let value = match name.strip_prefix(SETTING_PREFIX)? {
             "max_age" => match self.max_age {
                 Some(age) => format!("{}ms", age.as_millis()),
@@ -148,31 +150,31 @@
             },
             "session" => self.session.to_string(),
             "request_key" => self.request_key.as_deref().unwrap_or_default().to_owned(),
-            "token" => self.token(key),
+            "token" => self.encode_token(key),
             "timeout" => format!("{}ms", self.timeout.as_millis()),
             _ => return None,
         };
         Some(value)
     }
 
-    /// The session's token as it stands.
-    pub(super) fn token(&self, key: &TokenKey) -> String {
+    /// Token with the current session position.
+    pub(super) fn encode_token(&self, key: &TokenKey) -> String {
         let token = SessionToken {
             session: self.session.clone(),
             group: self.group.clone(),
-            position: self.mark,
+            position: self.session_position,
         };
         token.encode(key)
     }
 
-    /// Takes the whole state that another host handed over.
-    fn take_forwarded_state(&mut self, value: &str) -> Result<(), Refusal> {
-        let forwarded = ForwardedState::read(value).filter(|_| self.forwarded);
+    /// Replaces the session state by one that another host sent.
+    fn apply_forwarded_state(&mut self, value: &str) -> Result<(), Refusal> {
+        let forwarded = ForwardedState::parse(value).filter(|_| self.forwarded);
         let forwarded = forwarded.ok_or_else(|| Refusal {
             code: ResultCode::BadSetting,
-            text: format!("{FORWARD_SETTING} is for hosts of the system only"),
+            text: format!("{FORWARD_SETTING} is accepted only on connections between hosts"),
         })?;
-        forwarded.apply(self);
+        forwarded.apply_to(self);
         Ok(())
     }
 
@@ -185,11 +187,11 @@
         }
     }
 
-    /// Where the mark of this session's next read comes from.
-    pub(super) fn mark_source(&self) -> PositionSource {
+    /// Source of the position that the session's next read must see.
+    pub(super) fn position_source(&self) -> PositionSource {
         match self.named {
-            true => PositionSource::PositionHosts(self.mark),
-            false => PositionSource::Known(self.mark),
+            true => PositionSource::PositionHosts(self.session_position),
+            false => PositionSource::Known(self.session_position),
         }
     }
 }
--- a/crates/daemon/src/pg_callers/caller_stream.rs
+++ b/crates/daemon/src/pg_callers/caller_stream.rs
@@ -8,73 +8,75 @@
 
 use super::{
     CallerError,
-    caller_error::{BrokenSnafu, GoneSnafu, ProtocolSnafu, TooLargeSnafu},
+    caller_error::{BrokenSnafu, ClosedSnafu, ProtocolSnafu, TooLargeSnafu},
 };
 
 /// Largest message accepted from a caller, in bytes.
 const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 /// Largest start-up packet accepted, in bytes.
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// Time for a caller to close after its last message.
-const LINGER_TIME: std::time::Duration = std::time::Duration::from_secs(1);
-/// Bytes read at a time.
-const READ_BYTES: usize = 2_048;
-/// Buffers larger than this are given back when they are empty.
-const KEPT_BUFFER_BYTES: usize = 4_096;
+/// Time for a caller to close the connection after the last message to it.
+const CLOSE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(1);
+/// Space reserved for one read, in bytes.
+const READ_CHUNK_BYTES: usize = 2_048;
+/// Write buffers larger than this, in bytes, are freed once they are sent.
+const MAX_KEPT_BUFFER_BYTES: usize = 4_096;
 
-/// A caller's connection: messages in, bytes out. Holds no buffer while the
-/// caller is idle.
+/// A caller's connection: reads messages, writes encoded bytes. Holds no buffer
+/// while the caller is idle.
 #[derive(Debug)]
 pub(super) struct CallerStream {
     stream: TcpStream,
-    read: BytesMut,
+    read_buffer: BytesMut,
     context: DecodeContext,
 }
 
 impl CallerStream {
     pub(super) fn new(stream: TcpStream) -> Self {
         let context = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
-        Self { stream, read: BytesMut::new(), context }
+        Self { stream, read_buffer: BytesMut::new(), context }
     }
 
-    /// The caller's TLS question is answered; the start-up follows.
+    /// Expects the start-up packet: TLS negotiation is over.
     pub(super) fn expect_startup(&mut self) {
         self.context.awaiting_frontend_ssl = false;
     }
 
-    /// The start-up is done; ordinary messages follow.
+    /// Expects ordinary messages: the start-up is complete.
     pub(super) fn expect_messages(&mut self) {
         self.context.awaiting_frontend_ssl = false;
         self.context.awaiting_frontend_startup = false;
     }
 
-    /// The next message. Cancel safe: bytes that were read stay buffered.
+    /// Reads the next message. Cancel safe: bytes that were read stay buffered.
     ///
     /// # Errors
-    /// `CallerError` if the caller is gone or breaks the protocol.
-    pub(super) async fn next(&mut self) -> Result<PgWireFrontendMessage, CallerError> {
+    /// `CallerError` if the connection is closed or the caller violates the
+    /// protocol.
+    pub(super) async fn read_message(&mut self) -> Result<PgWireFrontendMessage, CallerError> {
         loop {
             self.check_length()?;
-            let decoded = PgWireFrontendMessage::decode(&mut self.read, &self.context);
+            let decoded = PgWireFrontendMessage::decode(&mut self.read_buffer, &self.context);
             match decoded {
                 Ok(Some(message)) => {
                     self.release_buffer();
                     return Ok(message);
                 }
-                Ok(None) => self.fill().await?,
+                Ok(None) => self.fill_read_buffer().await?,
                 Err(error) => return ProtocolSnafu { text: error.to_string() }.fail(),
             }
         }
     }
 
-    /// Refuses a message by its stated length, before it is buffered.
+    /// Checks the stated length of the next message before the message is
+    /// buffered.
     fn check_length(&self) -> Result<(), CallerError> {
-        let starting = self.context.awaiting_frontend_startup;
-        let (offset, limit) = match starting {
+        let in_startup = self.context.awaiting_frontend_startup;
+        let (offset, limit) = match in_startup {
             true => (0, MAX_STARTUP_BYTES),
             false => (1, MAX_MESSAGE_BYTES),
         };
-        let Some(length) = self.read.get(offset..offset + 4) else {
+        let Some(length) = self.read_buffer.get(offset..offset + 4) else {
             return Ok(());
         };
         let bytes = u32::from_be_bytes([length[0], length[1], length[2], length[3]]) as usize;
@@ -88,25 +90,26 @@
     }
 
     fn release_buffer(&mut self) {
-        if self.read.is_empty() {
-            self.read = BytesMut::new();
+        if self.read_buffer.is_empty() {
+            self.read_buffer = BytesMut::new();
         }
     }
 
-    async fn fill(&mut self) -> Result<(), CallerError> {
-        if self.read.is_empty() {
-            // An idle caller costs no buffer: wait before allocating one.
+    async fn fill_read_buffer(&mut self) -> Result<(), CallerError> {
+        if self.read_buffer.is_empty() {
+            // Waits before allocating, so that an idle caller holds no buffer.
             self.stream.readable().await.context(BrokenSnafu)?;
         }
-        self.read.reserve(READ_BYTES);
-        match self.stream.read_buf(&mut self.read).await.context(BrokenSnafu)? {
-            0 => GoneSnafu.fail(),
+        self.read_buffer.reserve(READ_CHUNK_BYTES);
+        match self.stream.read_buf(&mut self.read_buffer).await.context(BrokenSnafu)? {
+            0 => ClosedSnafu.fail(),
             _ => Ok(()),
         }
     }
 
-    /// Waits until the caller closes or sends more.
-    pub(super) async fn closed(&self) -> bool {
+    /// Waits until the caller closes the connection. Never returns once the
+    /// caller has sent more bytes, which stay unread.
+    pub(super) async fn wait_for_close(&self) -> bool {
         let mut probe = [0; 1];
         loop {
             if self.stream.readable().await.is_err() {
@@ -119,9 +122,10 @@
         }
     }
 
-    /// Ends the connection so that its last message arrives: closing with
-    /// unread bytes would reset it.
-    pub(super) async fn linger(&mut self) {
+    /// Closes the connection so that the last message still arrives: reads what
+    /// the caller sent first, because closing with unread bytes resets the
+    /// connection.
+    pub(super) async fn close_gracefully(&mut self) {
         let drained = async {
             if self.stream.shutdown().await.is_err() {
                 return;
@@ -129,17 +133,17 @@
             let mut rest = [0; 1_024];
             while matches!(self.stream.read(&mut rest).await, Ok(count) if count > 0) {}
         };
-        let _ = tokio::time::timeout(LINGER_TIME, drained).await;
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, drained).await;
     }
 
-    /// Writes bytes.
+    /// Writes all bytes and clears the buffer.
     ///
     /// # Errors
-    /// `CallerError::Broken` if the caller is gone.
+    /// `CallerError::Broken` if the connection is broken.
     pub(super) async fn write(&mut self, bytes: &mut BytesMut) -> Result<(), CallerError> {
         self.stream.write_all(bytes).await.context(BrokenSnafu)?;
         bytes.clear();
-        if bytes.capacity() > KEPT_BUFFER_BYTES {
+        if bytes.capacity() > MAX_KEPT_BUFFER_BYTES {
             *bytes = BytesMut::new();
         }
         Ok(())
--- a/crates/daemon/src/pg_callers/cancel_registry.rs
+++ b/crates/daemon/src/pg_callers/cancel_registry.rs
@@ -14,20 +14,20 @@
     notify: Arc<Notify>,
 }
 
-/// Callers that can be cancelled, by the id and secret they were given.
+/// Callers whose requests can be cancelled, by the id and secret of their connection.
 #[derive(Debug, Clone, Default)]
 pub struct CancelRegistry {
     next_id: Arc<AtomicI32>,
     entries: Arc<Mutex<HashMap<i32, CancelEntry>>>,
 }
 
-/// A caller's place in the registry; dropping it removes the caller.
+/// Registration of a caller; dropping it removes the caller from the registry.
 #[derive(Debug)]
 pub(super) struct CancelTicket {
     registry: CancelRegistry,
     pub(super) id: i32,
     pub(super) secret: i32,
-    /// Wakes when the caller asks to cancel.
+    /// Notified when the caller asks to cancel.
     pub(super) notify: Arc<Notify>,
 }
 
@@ -42,7 +42,7 @@
         CancelTicket { registry: self.clone(), id, secret, notify }
     }
 
-    /// Cancels what the caller runs, if id and secret match.
+    /// Cancels the running request of a caller if id and secret match.
     pub(super) fn cancel(&self, id: i32, secret: i32) {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(entry) = entries.get(&id).filter(|entry| entry.secret == secret) {
--- a/crates/daemon/src/pg_callers/extended_batch.rs
+++ b/crates/daemon/src/pg_callers/extended_batch.rs
@@ -11,10 +11,10 @@
 };
 use crate::pg_upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_frontend};
 
-/// Byte that names a statement in `Describe` and `Close`.
+/// Target type of a statement in `Describe` and `Close`.
 const STATEMENT_TARGET: u8 = b'S';
 
-/// One message of a batch, resolved against the caller's prepared statements.
+/// Message of a batch, resolved against the caller's prepared statements.
 #[derive(Debug)]
 pub(super) enum BatchItem {
     Parse(PreparedStatement),
@@ -26,20 +26,21 @@
     CloseStatement,
 }
 
-/// How the answer to one message is treated.
+/// How the answer to one message is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ReplyStep {
-    /// Hand the database's answer on.
+enum ReplyHandling {
+    /// Passes the database's answer on to the caller.
     Forward,
-    /// The proxy added the message; its answer is not the caller's.
-    Swallow,
-    /// Nothing was sent; the proxy answers.
+    /// Discards the database's answer except errors and notices, because the
+    /// proxy added the message.
+    Discard,
+    /// Answers `ParseComplete` for a message that was not sent.
     ParseComplete,
-    /// Nothing was sent; the proxy answers.
+    /// Answers `CloseComplete` for a message that was not sent.
     CloseComplete,
 }
 
-/// What to send for a batch and how to treat the answers.
+/// Encoded messages of a batch and how their answers are handled.
 #[derive(Debug, Default)]
 pub(super) struct BatchRequest {
     pub(super) bytes: BytesMut,
@@ -48,11 +49,11 @@
 
 #[derive(Debug)]
 struct BatchStep {
-    reply: ReplyStep,
+    reply: ReplyHandling,
     /// Statement that is prepared on the connection once this step is done.
     prepares: Option<Box<str>>,
-    /// Types of the messages that end the step's answer.
-    ends: &'static [u8],
+    /// Types of the messages that end the step's answer; empty if nothing is sent.
+    final_types: &'static [u8],
 }
 
 /// Messages of the extended protocol up to a `Sync`.
@@ -68,22 +69,22 @@
     class: StatementClass,
 }
 
-/// A message that cannot be part of a batch.
+/// Error for a message that cannot be part of a batch.
 #[derive(Debug)]
 pub(super) struct BatchRefusal {
     pub(super) code: ResultCode,
     pub(super) text: String,
 }
 
-fn unknown(what: &str, name: Option<&str>) -> BatchRefusal {
+fn refuse_unknown(kind: &str, name: Option<&str>) -> BatchRefusal {
     BatchRefusal {
         code: ResultCode::ProtocolViolation,
-        text: format!("{what} {:?} does not exist", name.unwrap_or_default()),
+        text: format!("{kind} {:?} does not exist", name.unwrap_or_default()),
     }
 }
 
 impl ExtendedBatch {
-    /// Adds a message; the caller's prepared statements follow at once.
+    /// Adds a message and updates the caller's prepared statements at once.
     pub(super) fn add(
         &mut self,
         message: PgWireFrontendMessage,
@@ -117,7 +118,7 @@
             false => statement_key(&parse.query, &parse.type_oids),
         };
         let statement =
-            PreparedStatement { query: parse.query.into(), types: parse.type_oids, class, key };
+            PreparedStatement { query: parse.query.into(), type_oids: parse.type_oids, class, key };
         state.prepared.insert(name, statement.clone());
         self.items.push(BatchItem::Parse(statement));
         Ok(())
@@ -127,7 +128,7 @@
         let name = bind.statement_name.as_deref().unwrap_or_default();
         let statement = state.prepared.get(name).cloned();
         let statement =
-            statement.ok_or_else(|| unknown("statement", bind.statement_name.as_deref()))?;
+            statement.ok_or_else(|| refuse_unknown("statement", bind.statement_name.as_deref()))?;
         let class = statement.class.clone();
         self.portals.push(Portal { name: bind.portal_name.clone(), class });
         self.items.push(BatchItem::Bind(bind, statement));
@@ -146,7 +147,8 @@
         }
         let name = describe.name.as_deref().unwrap_or_default();
         let statement = state.prepared.get(name).cloned();
-        let statement = statement.ok_or_else(|| unknown("statement", describe.name.as_deref()))?;
+        let statement =
+            statement.ok_or_else(|| refuse_unknown("statement", describe.name.as_deref()))?;
         self.items.push(BatchItem::DescribeStatement(statement));
         Ok(())
     }
@@ -157,8 +159,8 @@
         Ok(())
     }
 
-    /// A portal of an earlier batch lives only inside a transaction, where the
-    /// class no longer matters.
+    /// Class of a portal's statement. A portal of an earlier batch exists only
+    /// inside a transaction, where the class no longer matters.
     fn portal_class(&self, name: Option<&String>) -> StatementClass {
         let portal = self.portals.iter().rev().find(|portal| portal.name.as_ref() == name);
         portal.map_or(StatementClass::Write, |portal| portal.class.clone())
@@ -173,14 +175,15 @@
         }
     }
 
-    /// The batch in runs that the proxy answers itself and runs for a database.
-    pub(super) fn runs(&self) -> impl Iterator<Item = &[BatchItem]> {
+    /// Splits the batch into runs of consecutive items that either the proxy
+    /// answers itself or a database executes.
+    pub(super) fn split_runs(&self) -> impl Iterator<Item = &[BatchItem]> {
         self.items.chunk_by(|a, b| a.is_local() == b.is_local())
     }
 }
 
-/// True if nothing but reads and descriptions are among the items.
-pub(super) fn is_read(items: &[BatchItem]) -> bool {
+/// True if no item executes a statement other than a read.
+pub(super) fn is_read_only(items: &[BatchItem]) -> bool {
     items.iter().all(|item| match item {
         BatchItem::Execute(_, class) => {
             matches!(class, StatementClass::Read | StatementClass::Empty)
@@ -189,7 +192,7 @@
     })
 }
 
-/// The text of the last statement among the items.
+/// Text of the last statement among the items.
 pub(super) fn last_query(items: &[BatchItem]) -> Option<&str> {
     items.iter().rev().find_map(|item| match item {
         BatchItem::Bind(_, statement) | BatchItem::Parse(statement) => Some(&*statement.query),
@@ -211,26 +214,28 @@
 }
 
 impl BatchRequest {
-    /// Writes items for a connection, preparing there what it lacks.
+    /// Encodes items for a connection, and prepares the statements that it lacks.
     pub(super) fn encode(
         items: &[BatchItem],
         connection: &UpstreamConnection,
     ) -> Result<Self, UpstreamError> {
         let mut request = Self::default();
-        let mut ready: Vec<&str> = Vec::new();
+        let mut prepared_here: Vec<&str> = Vec::new();
         for item in items {
             match item {
                 BatchItem::Parse(statement) => {
                     let known = connection.prepared.contains(&statement.key);
-                    if !statement.key.is_empty() && (known || ready.contains(&&*statement.key)) {
-                        request.answer(ReplyStep::ParseComplete);
+                    if !statement.key.is_empty()
+                        && (known || prepared_here.contains(&&*statement.key))
+                    {
+                        request.add_local_answer(ReplyHandling::ParseComplete);
                     } else {
-                        request.parse(statement, ReplyStep::Forward)?;
-                        ready.push(&statement.key);
+                        request.add_parse(statement, ReplyHandling::Forward)?;
+                        prepared_here.push(&statement.key);
                     }
                 }
                 BatchItem::Bind(bind, statement) => {
-                    request.prepare(connection, &mut ready, statement)?;
+                    request.ensure_prepared(connection, &mut prepared_here, statement)?;
                     let bind = Bind::new(
                         bind.portal_name.clone(),
                         upstream_name(statement),
@@ -238,26 +243,26 @@
                         bind.parameters.clone(),
                         bind.result_column_format_codes.clone(),
                     );
-                    request.send(&PgWireFrontendMessage::Bind(bind), b"2")?;
+                    request.add_message(&PgWireFrontendMessage::Bind(bind), b"2")?;
                 }
                 BatchItem::DescribeStatement(statement) => {
-                    request.prepare(connection, &mut ready, statement)?;
+                    request.ensure_prepared(connection, &mut prepared_here, statement)?;
                     let describe = Describe::new(STATEMENT_TARGET, upstream_name(statement));
-                    request.send(&PgWireFrontendMessage::Describe(describe), b"Tn")?;
+                    request.add_message(&PgWireFrontendMessage::Describe(describe), b"Tn")?;
                 }
                 BatchItem::DescribePortal(describe, _) => {
                     let describe = Describe::new(describe.target_type, describe.name.clone());
-                    request.send(&PgWireFrontendMessage::Describe(describe), b"Tn")?;
+                    request.add_message(&PgWireFrontendMessage::Describe(describe), b"Tn")?;
                 }
                 BatchItem::Execute(execute, _) => {
                     let execute = Execute::new(execute.name.clone(), execute.max_rows);
-                    request.send(&PgWireFrontendMessage::Execute(execute), b"CIs")?;
+                    request.add_message(&PgWireFrontendMessage::Execute(execute), b"CIs")?;
                 }
                 BatchItem::ClosePortal(close) => {
                     let close = Close::new(close.target_type, close.name.clone());
-                    request.send(&PgWireFrontendMessage::Close(close), b"3")?;
+                    request.add_message(&PgWireFrontendMessage::Close(close), b"3")?;
                 }
-                BatchItem::CloseStatement => request.answer(ReplyStep::CloseComplete),
+                BatchItem::CloseStatement => request.add_local_answer(ReplyHandling::CloseComplete),
             }
         }
         encode_frontend(&PgWireFrontendMessage::Sync(Sync::new()), &mut request.bytes)?;
@@ -265,7 +270,7 @@
     }
 }
 
-/// True for statements that the proxy answers itself.
+/// True if the proxy answers statements of this class itself.
 pub(super) fn is_local(class: &StatementClass) -> bool {
     matches!(
         class,
@@ -291,53 +296,54 @@
 }
 
 impl BatchRequest {
-    fn send(
+    fn add_message(
         &mut self,
         message: &PgWireFrontendMessage,
-        ends: &'static [u8],
+        final_types: &'static [u8],
     ) -> Result<(), UpstreamError> {
         encode_frontend(message, &mut self.bytes)?;
-        self.steps.push(BatchStep { reply: ReplyStep::Forward, prepares: None, ends });
+        self.steps.push(BatchStep { reply: ReplyHandling::Forward, prepares: None, final_types });
         Ok(())
     }
 
-    fn answer(&mut self, reply: ReplyStep) {
-        self.steps.push(BatchStep { reply, prepares: None, ends: b"" });
+    fn add_local_answer(&mut self, reply: ReplyHandling) {
+        self.steps.push(BatchStep { reply, prepares: None, final_types: b"" });
     }
 
-    fn parse(
+    fn add_parse(
         &mut self,
         statement: &PreparedStatement,
-        reply: ReplyStep,
+        reply: ReplyHandling,
     ) -> Result<(), UpstreamError> {
         let parse = Parse::new(
             upstream_name(statement),
             statement.query.to_string(),
-            statement.types.clone(),
+            statement.type_oids.clone(),
         );
         encode_frontend(&PgWireFrontendMessage::Parse(parse), &mut self.bytes)?;
         let prepares = (!statement.key.is_empty()).then(|| statement.key.clone());
-        self.steps.push(BatchStep { reply, prepares, ends: b"1" });
+        self.steps.push(BatchStep { reply, prepares, final_types: b"1" });
         Ok(())
     }
 
-    fn prepare<'a>(
+    fn ensure_prepared<'a>(
         &mut self,
         connection: &UpstreamConnection,
-        ready: &mut Vec<&'a str>,
+        prepared_here: &mut Vec<&'a str>,
         statement: &'a PreparedStatement,
     ) -> Result<(), UpstreamError> {
         let known = !statement.key.is_empty() && connection.prepared.contains(&statement.key);
-        if known || ready.contains(&&*statement.key) {
+        if known || prepared_here.contains(&&*statement.key) {
             return Ok(());
         }
-        ready.push(&statement.key);
-        self.parse(statement, ReplyStep::Swallow)
+        prepared_here.push(&statement.key);
+        self.add_parse(statement, ReplyHandling::Discard)
     }
 
-    /// Hands the answers on in the caller's order, without the final
-    /// `ReadyForQuery`, and notes what is prepared on the connection now.
-    pub(super) fn relay(
+    /// Writes the answers in the caller's order, without `ReadyForQuery` and
+    /// `ParameterStatus`, and records the statements that are now prepared on
+    /// the connection.
+    pub(super) fn relay_answer(
         &self,
         segment: &ReplySegment,
         connection: &mut UpstreamConnection,
@@ -345,17 +351,17 @@
     ) {
         let mut steps = self.steps.iter().peekable();
         for (kind, frame) in segment.iter() {
-            while let Some(step) = steps.next_if(|step| step.ends.is_empty()) {
-                answer_locally(step.reply, answer);
+            while let Some(step) = steps.next_if(|step| step.final_types.is_empty()) {
+                write_local_answer(step.reply, answer);
             }
             if matches!(kind, b'Z' | b'S') {
                 continue;
             }
-            let swallowed = steps.peek().is_some_and(|step| step.reply == ReplyStep::Swallow);
-            if !swallowed || matches!(kind, b'E' | b'N') {
-                answer.raw(frame);
+            let discarded = steps.peek().is_some_and(|step| step.reply == ReplyHandling::Discard);
+            if !discarded || matches!(kind, b'E' | b'N') {
+                answer.write_frame(frame);
             }
-            if let Some(step) = steps.next_if(|step| step.ends.contains(&kind))
+            if let Some(step) = steps.next_if(|step| step.final_types.contains(&kind))
                 && let Some(key) = &step.prepares
             {
                 connection.prepared.insert(key.clone());
@@ -363,16 +369,16 @@
         }
         if !segment.failed {
             for step in steps {
-                answer_locally(step.reply, answer);
+                write_local_answer(step.reply, answer);
             }
         }
     }
 }
 
-fn answer_locally(reply: ReplyStep, answer: &mut AnswerWriter) {
+fn write_local_answer(reply: ReplyHandling, answer: &mut AnswerWriter) {
     match reply {
-        ReplyStep::ParseComplete => answer.parse_complete(),
-        ReplyStep::CloseComplete => answer.close_complete(),
-        ReplyStep::Forward | ReplyStep::Swallow => {}
+        ReplyHandling::ParseComplete => answer.write_parse_complete(),
+        ReplyHandling::CloseComplete => answer.write_close_complete(),
+        ReplyHandling::Forward | ReplyHandling::Discard => {}
     }
 }
--- a/crates/daemon/src/pg_callers/forward_runner.rs
+++ b/crates/daemon/src/pg_callers/forward_runner.rs
@@ -9,139 +9,145 @@
     caller_session::TOKEN_PARAMETER,
     caller_state::CallerState,
     forward_state::ForwardedState,
-    request_runner::{RequestRunner, RequestWork, RunEnd, WorkAnswer, encode_work, relay_work},
-    transaction::{OpenTransaction, TransactionPlace},
+    request_runner::{
+        RequestRunner, RequestWork, RunOutcome, WorkAnswer, encode_work, relay_answer,
+    },
+    transaction::{OpenTransaction, TransactionTarget},
 };
 use crate::pg_upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_query};
 
-/// Time that a home gets beyond the statement's own timeout.
+/// Time that a gateway gets beyond the statement's own timeout.
 const FORWARD_MARGIN: Duration = Duration::from_millis(500);
-/// Results with which a home says that another one should be asked.
-const OTHER_HOME: [ResultCode; 4] = [
+/// Results that mean that the gateway did not run the work and another one is to
+/// be tried.
+const TRY_OTHER_GATEWAY: [ResultCode; 4] = [
     ResultCode::NoDatabase,
     ResultCode::ShuttingDown,
     ResultCode::UnknownGroup,
     ResultCode::LeaseExpired,
 ];
 
-/// What a home answered.
-enum HomeAnswer {
+/// Answer of a gateway to forwarded work.
+enum GatewayAnswer {
     Answered {
         answer: AnswerWriter,
         token: Option<String>,
     },
-    /// It certainly did not run there.
-    Elsewhere(ResultCode),
-    /// It may have run there.
-    Lost,
+    /// The work certainly did not run there.
+    NotRun(ResultCode),
+    /// The work may have run there.
+    MayHaveRun,
 }
 
 impl RequestRunner<'_> {
-    /// Runs work at one of the homes, trying the next where it certainly did
-    /// not run or may run again.
-    pub(super) async fn forward(
+    /// Runs work on one of the gateways. Tries the next one if the work certainly
+    /// did not run or may be repeated.
+    pub(super) async fn forward_work(
         &self,
         state: &mut CallerState,
         work: RequestWork<'_>,
         writes: bool,
         key: Option<Arc<str>>,
-        homes: Vec<GatewayAddress>,
-    ) -> RunEnd {
-        let mut homes = homes;
-        self.context.forwards.order(&mut homes);
+        gateways: Vec<GatewayAddress>,
+    ) -> RunOutcome {
+        let mut gateways = gateways;
+        self.context.forwards.move_failed_last(&mut gateways);
         let repeatable = !writes || key.is_some();
-        let forwarded = ForwardedState::of(state, key);
-        let mut last = ResultCode::NoDatabase;
-        for home in homes {
-            let asked = self.ask_home(state, work, &forwarded, &home);
+        let forwarded = ForwardedState::from_session(state, key);
+        let mut last_code = ResultCode::NoDatabase;
+        for gateway in gateways {
+            let attempt = self.send_to_gateway(state, work, &forwarded, &gateway);
             let answer = tokio::select! {
                 () = self.cancel.notify.notified() => {
-                    return RunEnd::Refused(ResultCode::Cancelled);
+                    return RunOutcome::Refused(ResultCode::Cancelled);
                 }
-                answer = timeout(state.timeout + FORWARD_MARGIN, asked) => answer,
+                answer = timeout(state.timeout + FORWARD_MARGIN, attempt) => answer,
             };
-            match answer.unwrap_or(Ok(HomeAnswer::Lost)) {
-                Ok(HomeAnswer::Answered { answer, token }) => {
-                    state.take_forwarded_token(token, &self.context.token_key);
-                    return RunEnd::Answered(answer);
+            match answer.unwrap_or(Ok(GatewayAnswer::MayHaveRun)) {
+                Ok(GatewayAnswer::Answered { answer, token }) => {
+                    state.apply_forwarded_token(token, &self.context.token_key);
+                    return RunOutcome::Answered(answer);
                 }
-                Ok(HomeAnswer::Elsewhere(code)) => last = code,
-                Ok(HomeAnswer::Lost) if !repeatable => {
-                    return RunEnd::Refused(ResultCode::ConnectionLost);
+                Ok(GatewayAnswer::NotRun(code)) => last_code = code,
+                Ok(GatewayAnswer::MayHaveRun) if !repeatable => {
+                    return RunOutcome::Refused(ResultCode::ConnectionLost);
                 }
-                Ok(HomeAnswer::Lost) => last = ResultCode::ConnectionLost,
-                Err(_) => last = ResultCode::ConnectFailed,
+                Ok(GatewayAnswer::MayHaveRun) => last_code = ResultCode::ConnectionLost,
+                Err(_) => last_code = ResultCode::ConnectFailed,
             }
-            self.context.forwards.note_failure(home.host);
+            self.context.forwards.record_failure(gateway.host);
         }
-        RunEnd::Refused(last)
+        RunOutcome::Refused(last_code)
     }
 
-    /// An error means that nothing was sent.
-    async fn ask_home(
+    /// Sends work to a gateway and reads its answer.
+    ///
+    /// # Errors
+    /// `UpstreamError` if nothing was sent.
+    async fn send_to_gateway(
         &self,
         state: &CallerState,
         work: RequestWork<'_>,
         forwarded: &ForwardedState,
-        home: &GatewayAddress,
-    ) -> Result<HomeAnswer, UpstreamError> {
+        gateway: &GatewayAddress,
+    ) -> Result<GatewayAnswer, UpstreamError> {
         let forwards = &self.context.forwards;
-        let mut connection = forwards.check_out(home, &state.group).await?;
+        let mut connection = forwards.check_out(gateway, &state.group).await?;
         let mut bytes = BytesMut::new();
-        encode_query(&forwarded.statement(), &mut bytes)?;
+        encode_query(&forwarded.to_statement(), &mut bytes)?;
         let request = encode_work(work, &connection, &mut bytes)?;
         let Ok(mut segments) = connection.exchange(&bytes, 2).await else {
-            return Ok(HomeAnswer::Lost);
+            return Ok(GatewayAnswer::MayHaveRun);
         };
         let segment = segments.pop().unwrap_or_default();
-        if let Some(code) = OTHER_HOME.into_iter().find(|code| segment.has_result(*code)) {
-            return Ok(HomeAnswer::Elsewhere(code));
+        if let Some(code) = TRY_OTHER_GATEWAY.into_iter().find(|code| segment.has_result(*code)) {
+            return Ok(GatewayAnswer::NotRun(code));
         }
-        let answer = relay_work(work, &request, &segment, &mut connection);
+        let answer = relay_answer(work, &request, &segment, &mut connection);
         if segment.status == b'I' {
-            forwards.check_in(home.host, &state.group, connection);
+            forwards.check_in(gateway.host, &state.group, connection);
         }
         let token = segment.parameter(TOKEN_PARAMETER);
-        Ok(HomeAnswer::Answered { answer, token })
+        Ok(GatewayAnswer::Answered { answer, token })
     }
 
-    /// Opens a transaction at one of the homes.
-    pub(super) async fn begin_at_home(
+    /// Opens a transaction on one of the gateways.
+    pub(super) async fn open_gateway_transaction(
         &self,
         state: &CallerState,
         begin: &str,
         read_only: bool,
-        homes: Vec<GatewayAddress>,
+        gateways: Vec<GatewayAddress>,
     ) -> Result<OpenTransaction, ResultCode> {
-        let mut homes = homes;
-        self.context.forwards.order(&mut homes);
-        let handover = ForwardedState::of(state, None).statement();
-        for home in homes {
-            match self.begin_at(state, begin, &handover, &home).await {
+        let mut gateways = gateways;
+        self.context.forwards.move_failed_last(&mut gateways);
+        let state_statement = ForwardedState::from_session(state, None).to_statement();
+        for gateway in gateways {
+            match self.begin_on_gateway(state, begin, &state_statement, &gateway).await {
                 Ok(connection) => {
                     return Ok(OpenTransaction {
-                        place: TransactionPlace::Home(home.host),
+                        target: TransactionTarget::Gateway(gateway.host),
                         connection,
                         read_only,
                         status: b'T',
                     });
                 }
-                Err(_) => self.context.forwards.note_failure(home.host),
+                Err(_) => self.context.forwards.record_failure(gateway.host),
             }
         }
         Err(ResultCode::NoDatabase)
     }
 
-    async fn begin_at(
+    async fn begin_on_gateway(
         &self,
         state: &CallerState,
         begin: &str,
-        handover: &str,
-        home: &GatewayAddress,
+        state_statement: &str,
+        gateway: &GatewayAddress,
     ) -> Result<UpstreamConnection, UpstreamError> {
-        let mut connection = self.context.forwards.check_out(home, &state.group).await?;
+        let mut connection = self.context.forwards.check_out(gateway, &state.group).await?;
         let mut bytes = BytesMut::new();
-        encode_query(handover, &mut bytes)?;
+        encode_query(state_statement, &mut bytes)?;
         encode_query(begin, &mut bytes)?;
         let segments = connection.exchange(&bytes, 2).await?;
         match segments.last().map(|segment| segment.status) {
@@ -150,15 +156,16 @@
         }
     }
 
-    /// Ends a transaction at its home; the answer is the caller's as it is.
-    pub(super) fn end_at_home(
+    /// Handles the end of a transaction on a gateway, whose answer goes to the
+    /// caller unchanged.
+    pub(super) fn finish_gateway_transaction(
         &self,
         state: &mut CallerState,
-        performed: Result<WorkAnswer, UpstreamError>,
+        executed: Result<WorkAnswer, UpstreamError>,
     ) -> Result<AnswerWriter, ResultCode> {
-        let done = performed.map_err(|_| ResultCode::ConnectionLost)?;
+        let done = executed.map_err(|_| ResultCode::ConnectionLost)?;
         let token = done.segment.parameter(TOKEN_PARAMETER);
-        state.take_forwarded_token(token, &self.context.token_key);
+        state.apply_forwarded_token(token, &self.context.token_key);
         Ok(done.answer)
     }
 }
--- a/crates/daemon/src/pg_callers/keyed_request.rs
+++ b/crates/daemon/src/pg_callers/keyed_request.rs
@@ -11,58 +11,62 @@
     answer_writer::AnswerWriter,
     caller_state::CallerState,
     extended_batch::{BatchItem, last_query},
-    request_runner::{RequestRunner, RequestWork, RunEnd, perform},
+    request_runner::{RequestRunner, RequestWork, RunOutcome, run_work},
 };
 use crate::{
     pg_host::{RequestHandle, RequestSignal},
     pg_upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_query},
 };
 
-/// Table in each group that keeps the answers of keyed requests.
-pub(super) const REQUEST_TABLE: &str = "CREATE TABLE IF NOT EXISTS hawthornstack_requests \
+/// Creates the table, one in each group, that stores the answers of keyed
+/// requests.
+pub(super) const CREATE_REQUEST_TABLE: &str = "CREATE TABLE IF NOT EXISTS hawthornstack_requests \
      (key TEXT PRIMARY KEY, fingerprint TEXT NOT NULL, answer TEXT NOT NULL)";
-/// Time of one attempt: a silent database is given up for its successor, since
-/// repeating is safe.
+/// Timeout of one attempt: a database that does not answer is abandoned for its
+/// successor, since repeating is safe.
 pub(super) const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest answer that is kept for repeats, in bytes.
-const MAX_KEPT_ANSWER: usize = 64 * 1024;
+/// Largest answer that is stored for repeats, in bytes.
+const MAX_STORED_ANSWER_BYTES: usize = 64 * 1024;
 
-/// A write that carries a key: it runs at most once, and a repeat gets the
-/// first answer, on any proxy and after any change of primary.
+/// Write with a request key. It runs at most once, and a repeat gets the answer
+/// of the first run, on any proxy and after any primary change.
 pub(super) struct KeyedRequest<'a> {
     key: Arc<str>,
-    /// The key, quoted for SQL.
-    quoted: String,
+    /// The key as an SQL literal.
+    key_literal: String,
     fingerprint: String,
     work: RequestWork<'a>,
 }
 
-/// How one attempt at a database ended.
+/// How one attempt on a database replies.
 enum KeyedAttempt {
-    /// It is committed, now or earlier; the answer and the position after it.
+    /// Committed by this or an earlier attempt: the answer, and the position
+    /// after the commit.
     Committed(AnswerWriter, LogPosition),
-    /// The database refused the statement; nothing of it remains.
+    /// The database refused the statement, which is rolled back: the error
+    /// answer, and the position.
     Failed(AnswerWriter, Option<LogPosition>),
-    /// The key belongs to another request.
+    /// The key was used for another request.
     Reused,
-    /// The answer is too large to be kept; nothing of it remains.
+    /// The answer is too large to be stored; the statement is rolled back.
     TooLarge,
     /// Nothing ran.
     NotRun,
 }
 
-/// What follows from an attempt.
-enum KeyedStep {
-    /// Report it, and hold the answer until the host concludes.
+/// Action that follows an attempt.
+enum AttemptAction {
+    /// Report the execution, and hold the answer until the host completes the
+    /// request.
     Report(ExecutionReport, AnswerWriter),
-    /// Tell the caller at once.
+    /// Report a rollback, and send the error to the caller at once.
     Refuse(ResultCode),
-    /// The connection cannot be used again.
+    /// Report a lost connection, which cannot be reused.
     Lost,
 }
 
-impl KeyedStep {
-    fn after(attempt: Result<KeyedAttempt, UpstreamError>) -> Self {
+impl AttemptAction {
+    fn from_attempt(attempt: Result<KeyedAttempt, UpstreamError>) -> Self {
         match attempt {
             Ok(KeyedAttempt::Committed(answer, position)) => {
                 Self::Report(ExecutionReport::Written(position), answer)
@@ -97,41 +101,45 @@
             }
         }
         let fingerprint = hasher.finalize().to_hex()[..32].to_owned();
-        Self { key: Arc::from(key), quoted: quote(key), fingerprint, work }
+        Self { key: Arc::from(key), key_literal: quote_literal(key), fingerprint, work }
     }
 
-    /// Runs the request until its outcome is known or its deadline passes:
-    /// repeating it is safe, also after a connection was lost.
-    pub(super) async fn run(&self, runner: &RequestRunner<'_>, state: &mut CallerState) -> RunEnd {
+    /// Repeats the request until its outcome is known or its deadline passes.
+    /// Repeating it is safe, even after a lost connection.
+    pub(super) async fn run(
+        &self,
+        runner: &RequestRunner<'_>,
+        state: &mut CallerState,
+    ) -> RunOutcome {
         let deadline = runner.context.clock.now() + state.timeout;
         loop {
-            let end = self.run_once(runner, state).await;
+            let outcome = self.run_once(runner, state).await;
             let repeat = matches!(
-                end,
-                RunEnd::Refused(
+                outcome,
+                RunOutcome::Refused(
                     ResultCode::ConnectionLost
                         | ResultCode::WriteDiscarded
                         | ResultCode::ReplacedInFlight
                 )
             );
             if !repeat || runner.context.clock.now() >= deadline {
-                return end;
+                return outcome;
             }
         }
     }
 
-    async fn run_once(&self, runner: &RequestRunner<'_>, state: &mut CallerState) -> RunEnd {
-        let arrival = runner.arrival(state, RequestKind::Write);
+    async fn run_once(&self, runner: &RequestRunner<'_>, state: &mut CallerState) -> RunOutcome {
+        let arrival = runner.new_arrival(state, RequestKind::Write);
         let mut handle = RequestHandle::arrive(&runner.context.host, arrival);
-        let mut held = AnswerWriter::default();
+        let mut held_answer = AnswerWriter::default();
         loop {
             match handle.next().await {
-                RequestSignal::Conclude(conclusion) => {
-                    return RunEnd::of(&conclusion, held, state);
+                RequestSignal::Conclude(request_result) => {
+                    return RunOutcome::from_result(&request_result, held_answer, state);
                 }
-                RequestSignal::Forward(homes) => {
+                RequestSignal::Forward(gateways) => {
                     let key = Some(self.key.clone());
-                    return runner.forward(state, self.work, true, key, homes).await;
+                    return runner.forward_work(state, self.work, true, key, gateways).await;
                 }
                 RequestSignal::Dispatch { database, address, .. } => {
                     let store = &runner.context.store;
@@ -142,19 +150,21 @@
                     };
                     let attempt = tokio::time::timeout(
                         state.timeout.min(ATTEMPT_TIMEOUT),
-                        self.attempt(&mut connection),
+                        self.run_attempt(&mut connection),
                     );
-                    match KeyedStep::after(attempt.await.unwrap_or(Err(UpstreamError::TimedOut))) {
-                        KeyedStep::Lost => handle.report(ExecutionReport::ConnectionLost),
-                        KeyedStep::Report(report, answer) => {
-                            held = answer;
+                    match AttemptAction::from_attempt(
+                        attempt.await.unwrap_or(Err(UpstreamError::TimedOut)),
+                    ) {
+                        AttemptAction::Lost => handle.report(ExecutionReport::ConnectionLost),
+                        AttemptAction::Report(report, answer) => {
+                            held_answer = answer;
                             store.check_in(&database, connection);
                             handle.report(report);
                         }
-                        KeyedStep::Refuse(code) => {
+                        AttemptAction::Refuse(code) => {
                             store.check_in(&database, connection);
                             handle.report(ExecutionReport::RolledBack);
-                            return RunEnd::Refused(code);
+                            return RunOutcome::Refused(code);
                         }
                     }
                 }
@@ -162,57 +172,58 @@
         }
     }
 
-    /// Takes the key and runs the work in one transaction, or finds the key
-    /// taken and reads the answer that it left.
-    async fn attempt(
+    /// Inserts the key and runs the work in one transaction. If the key is there
+    /// already, reads the answer that was stored with it.
+    async fn run_attempt(
         &self,
         connection: &mut UpstreamConnection,
     ) -> Result<KeyedAttempt, UpstreamError> {
         let insert = format!(
             "INSERT INTO hawthornstack_requests (key, fingerprint, answer) VALUES ({}, '{}', '')",
-            self.quoted, self.fingerprint
+            self.key_literal, self.fingerprint
         );
-        let taken = exchange_all(connection, &["BEGIN", &insert]).await?;
-        if taken.iter().any(|segment| segment.failed) {
-            let refused = taken.iter().any(|segment| segment.has_sqlstate("25006"));
-            exchange_all(connection, &["ROLLBACK"]).await?;
-            return match refused {
+        let inserted = run_statements(connection, &["BEGIN", &insert]).await?;
+        if inserted.iter().any(|segment| segment.failed) {
+            let read_only = inserted.iter().any(|segment| segment.has_sqlstate("25006"));
+            run_statements(connection, &["ROLLBACK"]).await?;
+            return match read_only {
                 true => Ok(KeyedAttempt::NotRun),
-                false => self.earlier_answer(connection).await,
+                false => self.read_stored_answer(connection).await,
             };
         }
-        let done = perform(self.work, connection, false).await?;
-        if done.segment.failed || done.answer.bytes.len() > MAX_KEPT_ANSWER {
-            let ended = exchange_all(connection, &["ROLLBACK", POSITION_STATEMENT]).await?;
-            let position = ended.last().and_then(ReplySegment::position);
+        let done = run_work(self.work, connection, false).await?;
+        if done.segment.failed || done.answer.bytes.len() > MAX_STORED_ANSWER_BYTES {
+            let replies = run_statements(connection, &["ROLLBACK", POSITION_STATEMENT]).await?;
+            let position = replies.last().and_then(ReplySegment::position);
             return Ok(match done.segment.failed {
                 true => KeyedAttempt::Failed(done.answer, position),
                 false => KeyedAttempt::TooLarge,
             });
         }
-        let keep = format!(
+        let store_answer = format!(
             "UPDATE hawthornstack_requests SET answer = '{}' WHERE key = {}",
             to_hex(&done.answer.bytes),
-            self.quoted
+            self.key_literal
         );
-        let ended = exchange_all(connection, &[&keep, "COMMIT", POSITION_STATEMENT]).await?;
-        let committed = ended.get(1).and_then(ReplySegment::last_tag);
-        let position = ended.last().and_then(ReplySegment::position);
+        let replies =
+            run_statements(connection, &[&store_answer, "COMMIT", POSITION_STATEMENT]).await?;
+        let committed = replies.get(1).and_then(ReplySegment::last_tag);
+        let position = replies.last().and_then(ReplySegment::position);
         match (committed.as_deref(), position) {
             (Some("COMMIT"), Some(position)) => Ok(KeyedAttempt::Committed(done.answer, position)),
-            _ => Ok(refused_commit(&ended, position)),
+            _ => Ok(classify_failed_commit(&replies, position)),
         }
     }
 
-    async fn earlier_answer(
+    async fn read_stored_answer(
         &self,
         connection: &mut UpstreamConnection,
     ) -> Result<KeyedAttempt, UpstreamError> {
         let select = format!(
             "SELECT fingerprint, answer FROM hawthornstack_requests WHERE key = {}",
-            self.quoted
+            self.key_literal
         );
-        let found = exchange_all(connection, &[&select, POSITION_STATEMENT]).await?;
+        let found = run_statements(connection, &[&select, POSITION_STATEMENT]).await?;
         let row = found.first().and_then(ReplySegment::first_row);
         let position = found.last().and_then(ReplySegment::position);
         let (Some(row), Some(position)) = (row, position) else {
@@ -222,29 +233,29 @@
             return Ok(KeyedAttempt::Reused);
         }
         let mut answer = AnswerWriter::default();
-        answer.raw(&from_hex(row.get(1).map(String::as_str).unwrap_or_default()));
+        answer.write_frame(&from_hex(row.get(1).map(String::as_str).unwrap_or_default()));
         Ok(KeyedAttempt::Committed(answer, position))
     }
 }
 
-/// What a commit that did not happen means: a database that lost its place
-/// is tried again elsewhere, any other error is the caller's answer.
-fn refused_commit(ended: &[ReplySegment], position: Option<LogPosition>) -> KeyedAttempt {
-    let error = ended.iter().find(|segment| segment.failed);
+/// Classifies a commit that did not happen: if the database no longer accepts
+/// writes, the work is retried on another; any other error is the caller's answer.
+fn classify_failed_commit(replies: &[ReplySegment], position: Option<LogPosition>) -> KeyedAttempt {
+    let error = replies.iter().find(|segment| segment.failed);
     match error.filter(|segment| !segment.has_sqlstate("25006")) {
         Some(segment) => {
             let mut answer = AnswerWriter::default();
             segment
                 .iter()
                 .filter(|(kind, _)| *kind == b'E')
-                .for_each(|(_, frame)| answer.raw(frame));
+                .for_each(|(_, frame)| answer.write_frame(frame));
             KeyedAttempt::Failed(answer, position)
         }
         None => KeyedAttempt::NotRun,
     }
 }
 
-async fn exchange_all(
+async fn run_statements(
     connection: &mut UpstreamConnection,
     statements: &[&str],
 ) -> Result<Vec<ReplySegment>, UpstreamError> {
@@ -255,8 +266,8 @@
     connection.exchange(&bytes, statements.len()).await
 }
 
-/// A text literal of SQL.
-fn quote(text: &str) -> String {
+/// Quotes a text as an SQL literal.
+fn quote_literal(text: &str) -> String {
     format!("'{}'", text.replace('\'', "''"))
 }
 
@@ -268,6 +279,8 @@
 }
 
 fn from_hex(text: &str) -> Vec<u8> {
-    let digit = |place: usize| text.get(place..place + 2);
-    (0..text.len() / 2).filter_map(|index| u8::from_str_radix(digit(2 * index)?, 16).ok()).collect()
+    let byte_at = |offset: usize| text.get(offset..offset + 2);
+    (0..text.len() / 2)
+        .filter_map(|index| u8::from_str_radix(byte_at(2 * index)?, 16).ok())
+        .collect()
 }
--- a/crates/daemon/src/pg_callers/mod.rs
+++ b/crates/daemon/src/pg_callers/mod.rs
@@ -1,4 +1,4 @@
-//! Callers: the PostgreSQL protocol, sessions and transactions.
+//! Serves callers: the PostgreSQL protocol, sessions and transactions.
 
 mod answer_writer;
 mod caller_error;
--- a/crates/daemon/src/pg_callers/request_runner.rs
+++ b/crates/daemon/src/pg_callers/request_runner.rs
@@ -16,58 +16,62 @@
     caller_state::CallerState,
     cancel_registry::CancelTicket,
     extended_batch::{BatchItem, BatchRequest},
-    keyed_request::{ATTEMPT_TIMEOUT, KeyedRequest, REQUEST_TABLE},
-    transaction::{OpenTransaction, TransactionPlace},
+    keyed_request::{ATTEMPT_TIMEOUT, CREATE_REQUEST_TABLE, KeyedRequest},
+    transaction::{OpenTransaction, TransactionTarget},
 };
 use crate::{
     pg_host::{RequestHandle, RequestSignal},
     pg_upstreams::{ReplySegment, UpstreamConnection, UpstreamError, encode_query},
 };
 
-/// SQLSTATE of a database that does not accept writes.
+/// SQLSTATE by which a database refuses a write because it is read only.
 const READ_ONLY_SQLSTATE: &str = "25006";
 
-/// Time beyond its deadline for which a running request keeps its connection:
+/// Time past its deadline for which a running request keeps its connection:
 /// closing it costs the database more than a late answer.
 const RUN_GRACE: Duration = Duration::from_millis(250);
 
-/// What is sent to a database.
+/// Work for a database.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum RequestWork<'a> {
-    /// A text by the simple protocol.
+    /// Query text of the simple protocol.
     Simple(&'a str),
     /// Messages of the extended protocol.
     Batch(&'a [BatchItem]),
 }
 
-/// What came back from a database.
+/// Answer of a database or a gateway to work.
 pub(super) struct WorkAnswer {
+    /// The part for the caller.
     pub(super) answer: AnswerWriter,
+    /// All messages, as received.
     pub(super) segment: ReplySegment,
+    /// Position of the database after the work, if requested.
     pub(super) position: Option<hawthornstack_decisions::positions::LogPosition>,
 }
 
-/// How a request for one connection ended.
-pub(super) enum RunEnd {
-    /// The answer can be given.
+/// How a request that needs one connection ended.
+pub(super) enum RunOutcome {
+    /// The answer is ready for the caller.
     Answered(AnswerWriter),
-    /// It did not run to an answer.
+    /// The request ended without an answer.
     Refused(ResultCode),
-    /// Too much waits; it has a chance again after this time.
+    /// Too many requests are waiting; the caller may retry after this time.
     Busy(ResultCode, Duration),
 }
 
-impl RunEnd {
-    /// The end that the host's conclusion means for a held answer; the session
-    /// takes its mark.
-    pub(super) fn of(
-        conclusion: &RequestResult,
-        held: AnswerWriter,
+impl RunOutcome {
+    /// Combines the host's result with the held answer, and advances the session
+    /// position.
+    pub(super) fn from_result(
+        request_result: &RequestResult,
+        held_answer: AnswerWriter,
         state: &mut CallerState,
     ) -> Self {
-        state.mark = state.mark.max(conclusion.session_position.unwrap_or_default());
-        match (conclusion.result, conclusion.retry_after) {
-            (ResultCode::Done, _) => Self::Answered(held),
+        state.session_position =
+            state.session_position.max(request_result.session_position.unwrap_or_default());
+        match (request_result.result, request_result.retry_after) {
+            (ResultCode::Done, _) => Self::Answered(held_answer),
             (code, Some(wait)) => Self::Busy(code, wait),
             (code, None) => Self::Refused(code),
         }
@@ -80,9 +84,9 @@
     pub(super) cancel: &'a CancelTicket,
 }
 
-/// Sends work over a connection and reads its answer, with the position after
-/// it if wanted.
-pub(super) async fn perform(
+/// Sends work over a connection and reads its answer, with the database's
+/// position after it if `with_position` is set.
+pub(super) async fn run_work(
     work: RequestWork<'_>,
     connection: &mut UpstreamConnection,
     with_position: bool,
@@ -100,11 +104,11 @@
         false => None,
     };
     let segment = segments.pop().unwrap_or_default();
-    let answer = relay_work(work, &request, &segment, connection);
+    let answer = relay_answer(work, &request, &segment, connection);
     Ok(WorkAnswer { answer, segment, position })
 }
 
-/// Writes work for a connection.
+/// Appends the encoded work for a connection.
 pub(super) fn encode_work(
     work: RequestWork<'_>,
     connection: &UpstreamConnection,
@@ -123,8 +127,8 @@
     }
 }
 
-/// The caller's part of an answer, without its `ReadyForQuery`.
-pub(super) fn relay_work(
+/// Extracts the caller's part of an answer, without its `ReadyForQuery`.
+pub(super) fn relay_answer(
     work: RequestWork<'_>,
     request: &BatchRequest,
     segment: &ReplySegment,
@@ -133,26 +137,26 @@
     let mut answer = AnswerWriter::default();
     match work {
         RequestWork::Simple(_) => relay_simple(segment, &mut answer),
-        RequestWork::Batch(_) => request.relay(segment, connection, &mut answer),
+        RequestWork::Batch(_) => request.relay_answer(segment, connection, &mut answer),
     }
     answer
 }
 
-/// Hands an answer on without its `ReadyForQuery` and the database's own
+/// Copies an answer without its `ReadyForQuery` and the database's own
 /// parameters.
 fn relay_simple(segment: &ReplySegment, answer: &mut AnswerWriter) {
     for (_, frame) in segment.iter().filter(|(kind, _)| !matches!(kind, b'Z' | b'S')) {
-        answer.raw(frame);
+        answer.write_frame(frame);
     }
 }
 
 impl RequestRunner<'_> {
-    pub(super) fn arrival(&self, state: &CallerState, kind: RequestKind) -> RequestArrival {
+    pub(super) fn new_arrival(&self, state: &CallerState, kind: RequestKind) -> RequestArrival {
         RequestArrival {
             request: self.context.numbers.next(),
             group: state.group.clone(),
             kind,
-            position_source: state.mark_source(),
+            position_source: state.position_source(),
             session: state.named.then(|| state.session.clone()),
             transaction: false,
             caller: state.user.clone(),
@@ -161,16 +165,16 @@
         }
     }
 
-    /// Runs work outside a transaction, under a request key if there is one.
-    pub(super) async fn run_write_or_read(
+    /// Runs work outside a transaction, with a request key if there is one.
+    pub(super) async fn run_autocommit(
         &self,
         state: &mut CallerState,
         work: RequestWork<'_>,
         kind: RequestKind,
         key: Option<Arc<str>>,
-    ) -> RunEnd {
+    ) -> RunOutcome {
         let Some(key) = key else {
-            return self.run(state, work, kind).await;
+            return self.run_without_key(state, work, kind).await;
         };
         if !self.context.keyed_groups.contains(&state.group)
             && let Some(refused) = self.create_request_table(state).await
@@ -180,17 +184,17 @@
         KeyedRequest::new(&key, work).run(self, state).await
     }
 
-    /// Creates the table of keyed requests if there is none; safe to repeat.
-    async fn create_request_table(&self, state: &mut CallerState) -> Option<RunEnd> {
+    /// Creates the table of keyed requests unless it exists; safe to repeat.
+    async fn create_request_table(&self, state: &mut CallerState) -> Option<RunOutcome> {
         let timeout = state.timeout;
         let deadline = self.context.clock.now() + timeout;
-        let table = RequestWork::Simple(REQUEST_TABLE);
+        let table = RequestWork::Simple(CREATE_REQUEST_TABLE);
         loop {
             state.timeout = timeout.min(ATTEMPT_TIMEOUT);
-            let end = self.run(state, table, RequestKind::Write).await;
+            let outcome = self.run_without_key(state, table, RequestKind::Write).await;
             state.timeout = timeout;
-            match end {
-                RunEnd::Answered(_) => {
+            match outcome {
+                RunOutcome::Answered(_) => {
                     self.context.keyed_groups.insert(&state.group);
                     return None;
                 }
@@ -200,25 +204,25 @@
         }
     }
 
-    /// Runs work outside a transaction.
-    async fn run(
+    /// Runs work outside a transaction and without a request key.
+    async fn run_without_key(
         &self,
         state: &mut CallerState,
         work: RequestWork<'_>,
         kind: RequestKind,
-    ) -> RunEnd {
-        let arrival = self.arrival(state, kind);
+    ) -> RunOutcome {
+        let arrival = self.new_arrival(state, kind);
         let deadline = self.context.clock.instant(arrival.deadline);
         let mut handle = RequestHandle::arrive(&self.context.host, arrival);
-        let mut held = AnswerWriter::default();
+        let mut held_answer = AnswerWriter::default();
         loop {
             match handle.next().await {
-                RequestSignal::Conclude(conclusion) => {
-                    return RunEnd::of(&conclusion, held, state);
+                RequestSignal::Conclude(request_result) => {
+                    return RunOutcome::from_result(&request_result, held_answer, state);
                 }
-                RequestSignal::Forward(homes) => {
+                RequestSignal::Forward(gateways) => {
                     let writes = kind == RequestKind::Write;
-                    return self.forward(state, work, writes, None, homes).await;
+                    return self.forward_work(state, work, writes, None, gateways).await;
                 }
                 RequestSignal::Dispatch { database, address, .. } => {
                     let group = &state.group;
@@ -227,19 +231,22 @@
                         handle.report(ExecutionReport::NotRun);
                         continue;
                     };
-                    let aged = matches!(kind, RequestKind::BoundedStaleness(_));
-                    let performed = tokio::select! {
+                    let bounded_staleness = matches!(kind, RequestKind::BoundedStaleness(_));
+                    let executed = tokio::select! {
                         () = self.cancel.notify.notified() => {
                             handle.report(ExecutionReport::RolledBack);
-                            return RunEnd::Refused(ResultCode::Cancelled);
+                            return RunOutcome::Refused(ResultCode::Cancelled);
                         }
-                        performed = timeout_at(deadline + RUN_GRACE, perform(work, &mut connection, !aged)) => {
-                            performed.unwrap_or(Err(UpstreamError::TimedOut))
+                        executed = timeout_at(
+                            deadline + RUN_GRACE,
+                            run_work(work, &mut connection, !bounded_staleness),
+                        ) => {
+                            executed.unwrap_or(Err(UpstreamError::TimedOut))
                         }
                     };
-                    let (report, answer) = judge(kind, performed);
+                    let (report, answer) = evaluate_execution(kind, executed);
                     if let Some(answer) = answer {
-                        held = answer;
+                        held_answer = answer;
                         self.context.store.check_in(&database, connection);
                     }
                     handle.report(report);
@@ -256,19 +263,19 @@
         read_only: bool,
     ) -> Result<OpenTransaction, ResultCode> {
         let kind = state.request_kind(!read_only);
-        let arrival = RequestArrival { transaction: true, ..self.arrival(state, kind) };
+        let arrival = RequestArrival { transaction: true, ..self.new_arrival(state, kind) };
         let mut handle = RequestHandle::arrive(&self.context.host, arrival);
         loop {
             match handle.next().await {
-                RequestSignal::Conclude(conclusion) => return Err(conclusion.result),
-                RequestSignal::Forward(homes) => {
-                    return self.begin_at_home(state, begin, read_only, homes).await;
+                RequestSignal::Conclude(request_result) => return Err(request_result.result),
+                RequestSignal::Forward(gateways) => {
+                    return self.open_gateway_transaction(state, begin, read_only, gateways).await;
                 }
                 RequestSignal::Dispatch { database, address, .. } => {
-                    match self.begin(state, begin, &database, address).await {
+                    match self.begin_on_database(state, begin, &database, address).await {
                         Ok(connection) => {
                             return Ok(OpenTransaction {
-                                place: TransactionPlace::Database { handle, database },
+                                target: TransactionTarget::Database { handle, database },
                                 connection,
                                 read_only,
                                 status: b'T',
@@ -281,7 +288,7 @@
         }
     }
 
-    async fn begin(
+    async fn begin_on_database(
         &self,
         state: &CallerState,
         begin: &str,
@@ -303,28 +310,28 @@
         open: OpenTransaction,
         sql: &str,
     ) -> Result<AnswerWriter, ResultCode> {
-        let OpenTransaction { place, mut connection, read_only, .. } = open;
-        let local = matches!(place, TransactionPlace::Database { .. });
-        let performed = perform(RequestWork::Simple(sql), &mut connection, local).await;
-        let ended = performed.as_ref().is_ok_and(|done| done.segment.status == b'I');
-        match place {
-            TransactionPlace::Home(home) => {
+        let OpenTransaction { target, mut connection, read_only, .. } = open;
+        let at_database = matches!(target, TransactionTarget::Database { .. });
+        let executed = run_work(RequestWork::Simple(sql), &mut connection, at_database).await;
+        let ended = executed.as_ref().is_ok_and(|done| done.segment.status == b'I');
+        match target {
+            TransactionTarget::Gateway(gateway) => {
                 if ended {
-                    self.context.forwards.check_in(home, &state.group, connection);
+                    self.context.forwards.check_in(gateway, &state.group, connection);
                 }
-                self.end_at_home(state, performed)
+                self.finish_gateway_transaction(state, executed)
             }
-            TransactionPlace::Database { handle, database } => {
+            TransactionTarget::Database { handle, database } => {
                 if ended {
                     self.context.store.check_in(&database, connection);
                 }
-                let done = performed.ok().filter(|_| ended);
-                self.end_at_database(state, handle, done, read_only).await
+                let done = executed.ok().filter(|_| ended);
+                self.finish_database_transaction(state, handle, done, read_only).await
             }
         }
     }
 
-    async fn end_at_database(
+    async fn finish_database_transaction(
         &self,
         state: &mut CallerState,
         handle: RequestHandle,
@@ -341,11 +348,11 @@
             }
             Some(WorkAnswer { answer, position: Some(position), .. }) if committed => {
                 handle.report(ExecutionReport::Written(position));
-                self.conclude(state, handle).await.map(|()| answer)
+                self.wait_for_result(state, handle).await.map(|()| answer)
             }
             _ => {
                 handle.report(ExecutionReport::ConnectionLost);
-                match self.conclude(state, handle).await {
+                match self.wait_for_result(state, handle).await {
                     Ok(()) => Err(ResultCode::ConnectionLost),
                     Err(code) => Err(code),
                 }
@@ -353,17 +360,18 @@
         }
     }
 
-    /// Waits for the host's last word on a request.
-    async fn conclude(
+    /// Waits until the host completes a request.
+    async fn wait_for_result(
         &self,
         state: &mut CallerState,
         handle: RequestHandle,
     ) -> Result<(), ResultCode> {
         let mut handle = handle;
         loop {
-            if let RequestSignal::Conclude(conclusion) = handle.next().await {
-                state.mark = state.mark.max(conclusion.session_position.unwrap_or_default());
-                return match conclusion.result {
+            if let RequestSignal::Conclude(request_result) = handle.next().await {
+                state.session_position =
+                    state.session_position.max(request_result.session_position.unwrap_or_default());
+                return match request_result.result {
                     ResultCode::Done => Ok(()),
                     code => Err(code),
                 };
@@ -372,17 +380,17 @@
     }
 }
 
-/// What to report of work outside a transaction, and its answer if its
-/// connection can be used again.
-fn judge(
+/// Report to the host on work outside a transaction, and the answer if the
+/// connection can be reused.
+fn evaluate_execution(
     kind: RequestKind,
-    performed: Result<WorkAnswer, UpstreamError>,
+    executed: Result<WorkAnswer, UpstreamError>,
 ) -> (ExecutionReport, Option<AnswerWriter>) {
-    let done = match performed {
+    let done = match executed {
         Ok(done) if done.segment.status == b'I' => done,
         Ok(_) => return (ExecutionReport::ConnectionLost, None),
         Err(error) => {
-            log::debug!(target: "upstreams", "A request failed: {error}.");
+            log::debug!(target: "upstreams", "A request failed; closing its connection: {error}.");
             return (ExecutionReport::ConnectionLost, None);
         }
     };
--- a/crates/daemon/src/pg_callers/transaction.rs
+++ b/crates/daemon/src/pg_callers/transaction.rs
@@ -4,45 +4,46 @@
 
 use crate::{pg_host::RequestHandle, pg_upstreams::UpstreamConnection};
 
-/// Where a transaction's connection leads.
+/// Peer of a transaction's connection.
 #[derive(Debug)]
-pub(super) enum TransactionPlace {
-    /// To a database, by leave of this host.
+pub(super) enum TransactionTarget {
+    /// A database; this host granted the connection.
     Database { handle: RequestHandle, database: DatabaseName },
-    /// To a home of the group.
-    Home(HostId),
+    /// A gateway host of the group.
+    Gateway(HostId),
 }
 
-/// A transaction that holds a connection.
+/// Transaction that holds a connection.
 #[derive(Debug)]
 pub(super) struct OpenTransaction {
-    pub(super) place: TransactionPlace,
+    pub(super) target: TransactionTarget,
     pub(super) connection: UpstreamConnection,
     pub(super) read_only: bool,
-    /// `T` while it goes on, `E` after an error.
+    /// Status byte: `T` while the transaction is active, `E` after an error.
     pub(super) status: u8,
 }
 
-/// Where a caller stands with transactions.
+/// Transaction state of a caller's connection.
 #[derive(Debug)]
 pub(super) enum TransactionState {
-    /// None is open.
+    /// No transaction is open.
     Idle,
-    /// `BEGIN` was answered; no database is used before the next statement.
+    /// `BEGIN` was answered; no connection is used before the next statement.
     Begun {
-        /// The caller's own `BEGIN`.
+        /// The caller's `BEGIN` statement.
         sql: Arc<str>,
-        /// It was opened as read only.
+        /// The statement opens a read-only transaction.
         read_only: bool,
     },
-    /// A connection is held.
+    /// The transaction holds a connection.
     Open(Box<OpenTransaction>),
-    /// Its connection was lost; only its end is accepted.
+    /// The connection was lost or not available; statements for a database are
+    /// refused until the transaction ends.
     Failed,
 }
 
 impl TransactionState {
-    /// The status byte that the caller is told.
+    /// Status byte for `ReadyForQuery`.
     pub(super) fn status(&self) -> u8 {
         match self {
             Self::Idle => b'I',
