--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The hawthornstack daemon: services that feed events to the decisions and
-//! carry out their effects.
+//! The hawthornstack daemon: services that feed events to the state machines of
+//! the decisions crate and execute their effects.
 //!
 //! Two deployments are built from it: `hawthornstackd`, one daemon that does
 //! everything in front of PostgreSQL databases, and `hawthornstack-platform`,
@@ -11,7 +11,7 @@
 //! - `edges`: `hawthornstack-platform`
 //! - `entry_role`: `hawthornstack-platform`
 //! - `journal`: both
-//! - `kernel`: `hawthornstackd`; both use its errors
+//! - `kernel`: `hawthornstackd`; both use its `KernelError`
 //! - `links`: `hawthornstack-platform`
 //! - `logs`: `hawthornstackd`
 //! - `metrics`: both
--- a/crates/daemon/src/logs/log_setup.rs
+++ b/crates/daemon/src/logs/log_setup.rs
@@ -2,11 +2,12 @@
 
 use crate::settings::LogSettings;
 
-/// Parts that log, as named in settings and prefixes.
-const LOG_PARTS: [&str; 7] =
+/// Targets of the daemon's log lines, which are also the keys of `logs.parts` in the
+/// settings.
+const LOG_TARGETS: [&str; 7] =
     ["callers", "host", "journal", "kernel", "operators", "peers", "upstreams"];
 
-/// Keeps the logger alive.
+/// Keeps the logger running until dropped.
 pub struct LogHandle {
     _handle: LoggerHandle,
 }
@@ -14,19 +15,19 @@
 /// Starts logging to standard error.
 ///
 /// # Errors
-/// `FlexiLoggerError` if a level is not known or logging runs already.
+/// `FlexiLoggerError` if a level is unknown or a logger is already set.
 pub fn start_logs(settings: &LogSettings) -> Result<LogHandle, FlexiLoggerError> {
     let level = settings.level.as_deref().unwrap_or("info");
-    let mut words = vec!["warn".to_owned()];
-    for part in LOG_PARTS {
-        let level = settings.parts.get(part).map_or(level, |level| level);
-        words.push(format!("{part}={level}"));
+    let mut directives = vec!["warn".to_owned()];
+    for target in LOG_TARGETS {
+        let level = settings.parts.get(target).map_or(level, |level| level);
+        directives.push(format!("{target}={level}"));
     }
-    let handle = Logger::try_with_str(words.join(","))?.format(write_line).start()?;
+    let handle = Logger::try_with_str(directives.join(","))?.format(write_log_line).start()?;
     Ok(LogHandle { _handle: handle })
 }
 
-fn write_line(
+fn write_log_line(
     writer: &mut dyn std::io::Write,
     now: &mut DeferredNow,
     record: &Record<'_>,
--- a/crates/daemon/src/logs/mod.rs
+++ b/crates/daemon/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Logs: short sentences, one prefix for each part.
+//! Logging to standard error, with the part of the daemon as the target of each line.
 
 mod log_setup;
 
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -9,9 +9,9 @@
     settings::{DaemonSettings, SettingsError},
 };
 
-/// Exit code for settings that were refused.
+/// Exit code for missing or invalid settings.
 const EXIT_SETTINGS: u8 = 2;
-/// Exit code for a daemon that could not start.
+/// Exit code for a daemon that failed to start.
 const EXIT_START: u8 = 3;
 
 /// A database proxy with session consistency.
@@ -44,24 +44,24 @@
     match (arguments.command, arguments.settings) {
         (Some(DaemonCommand::Check(check)), _) => match DaemonSettings::load(&check.settings) {
             Ok(_) => {
-                println!("{} can be used.", check.settings.display());
+                println!("{}: settings are valid.", check.settings.display());
                 ExitCode::SUCCESS
             }
-            Err(error) => refuse(&error),
+            Err(error) => report_invalid_settings(&error),
         },
         (None, Some(path)) => match DaemonSettings::load(&path) {
             Ok(settings) => run(&settings),
-            Err(error) => refuse(&error),
+            Err(error) => report_invalid_settings(&error),
         },
         (None, None) => {
-            eprintln!("Give --settings FILE; see hawthornstackd --help.");
+            eprintln!("--settings FILE is missing; see hawthornstackd --help.");
             ExitCode::from(EXIT_SETTINGS)
         }
     }
 }
 
-fn refuse(error: &SettingsError) -> ExitCode {
-    eprintln!("The settings cannot be used: {error}.");
+fn report_invalid_settings(error: &SettingsError) -> ExitCode {
+    eprintln!("Invalid settings: {error}.");
     ExitCode::from(EXIT_SETTINGS)
 }
 
@@ -70,24 +70,24 @@
     let _logs = match start_logs(&settings.logs) {
         Ok(logs) => logs,
         Err(error) => {
-            eprintln!("The settings cannot be used: logs: {error}.");
+            eprintln!("Invalid settings: logs: {error}.");
             return ExitCode::from(EXIT_SETTINGS);
         }
     };
     match DaemonKernel::start(settings).await {
         Ok(kernel) => {
-            wait_for_signal().await;
+            wait_for_shutdown_signal().await;
             kernel.shut_down().await;
             ExitCode::SUCCESS
         }
         Err(error) => {
-            eprintln!("The daemon cannot start: {error}.");
+            eprintln!("The daemon failed to start: {error}.");
             ExitCode::from(EXIT_START)
         }
     }
 }
 
-async fn wait_for_signal() {
+async fn wait_for_shutdown_signal() {
     use tokio::signal::unix::{SignalKind, signal};
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         let _ = tokio::signal::ctrl_c().await;
--- a/crates/daemon/src/settings/daemon_settings.rs
+++ b/crates/daemon/src/settings/daemon_settings.rs
@@ -16,92 +16,93 @@
 
 use super::{
     SettingsError,
-    settings_error::{ImpossibleSnafu, MalformedSnafu, UnreadableSnafu},
+    settings_error::{InvalidValueSnafu, MalformedSnafu, UnreadableSnafu},
 };
 
-/// Fewest renewals that must fit into one lease.
-const RENEWALS_PER_LEASE: u32 = 3;
-/// Fewest heartbeats that must fit into one election timeout.
-const HEARTBEATS_PER_ELECTION: u32 = 3;
-/// Most voters that a deployment may have.
+/// Minimum number of renewal intervals in one lease.
+const MIN_RENEWALS_PER_LEASE: u32 = 3;
+/// Minimum number of heartbeat intervals in one election timeout.
+const MIN_HEARTBEATS_PER_ELECTION: u32 = 3;
+/// Maximum number of voters in a deployment.
 const MAX_VOTERS: usize = 7;
 
-/// Who this host is.
+/// Identity and location of this host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostIdentity {
-    /// Number, unique in the deployment.
+    /// Number of the host, unique in the deployment.
     pub id: HostId,
-    /// The data centre it stands in.
+    /// Data centre in which the host is located.
     pub data_centre: DataCentre,
 }
 
-/// Where this host listens.
+/// Addresses on which this host listens.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// For callers, by the PostgreSQL protocol.
+    /// Callers, over the PostgreSQL protocol.
     pub callers: SocketAddr,
-    /// For other hosts.
+    /// Other hosts, over WebSocket.
     pub peers: SocketAddr,
-    /// For operators, announcements, metrics and the balancer, by HTTP.
+    /// Operators, upstreams' announcements, metrics and the balancer's health check,
+    /// over HTTP.
     pub operators: SocketAddr,
 }
 
-/// A host that votes in control.
+/// A host that votes on the replicated configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VoterAddress {
-    /// Its number.
+    /// Number of the host.
     pub id: HostId,
-    /// Where it listens for other hosts.
+    /// Address on which it listens for other hosts.
     pub peers: SocketAddr,
 }
 
-/// Control: voters, times, and where a voter keeps its journal.
+/// Replication of the configuration: voters, timing and a voter's data folder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// The voters of the deployment.
+    /// Voters of the deployment; an odd number, `MAX_VOTERS` at most.
     pub voters: Vec<VoterAddress>,
-    /// Data folder; needed on voters.
+    /// Folder of the journal; required on voters.
     #[serde(default)]
     pub data: Option<PathBuf>,
-    /// Shortest silence of the leader before an election.
+    /// Shortest time without a message of the leader before a voter starts an election.
     #[serde(default = "default_election_timeout", with = "humantime_serde")]
     pub election_timeout: Duration,
-    /// Time between the leader's heartbeats.
+    /// Interval between the leader's heartbeats.
     #[serde(default = "default_heartbeat", with = "humantime_serde")]
     pub heartbeat: Duration,
-    /// Length of the lease that lets a host serve.
+    /// Duration of a lease; a host serves callers only while it holds one.
     #[serde(default = "default_lease", with = "humantime_serde")]
     pub lease: Duration,
-    /// Time between renewals of the lease.
+    /// Interval between renewals of the lease.
     #[serde(default = "default_renewal", with = "humantime_serde")]
     pub renewal: Duration,
 }
 
-/// When a primary is suspected.
+/// When this host suspects a primary to have failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FailoverSettings {
-    /// Silence of a primary before this host suspects it.
+    /// Longest time without a report of the primary.
     #[serde(with = "humantime_serde")]
     pub suspect_after: Duration,
-    /// Time without progress of replication before this host suspects it.
+    /// Longest time without progress of replication while replicas report.
     #[serde(with = "humantime_serde")]
     pub stall_after: Duration,
 }
 
-/// How groups are spread over hosts.
+/// Assignment of groups to hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GroupSettings {
-    /// Hosts that hold connections to one group.
+    /// Number of gateways of a group: hosts that hold connections to its databases.
     pub homes: usize,
 }
 
-/// Session tokens.
+/// Settings of session tokens.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SessionSettings {
@@ -110,13 +111,14 @@
     pub secret: Arc<str>,
 }
 
-/// What is logged.
+/// Log levels.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Level of all parts: `error`, `warn`, `info`, `debug` or `trace`.
+    /// Level of the parts that `parts` does not name: `error`, `warn`, `info`, `debug`
+    /// or `trace`; `info` if not given.
     pub level: Option<Arc<str>>,
-    /// Levels of single parts by name.
+    /// Levels by part, which is the target of its log lines.
     pub parts: BTreeMap<Arc<str>, Arc<str>>,
 }
 
@@ -124,21 +126,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSettings {
-    /// Who this host is.
+    /// Identity and location of this host.
     pub host: HostIdentity,
-    /// Where it listens.
+    /// Addresses on which this host listens.
     pub listen: ListenSettings,
-    /// Control.
+    /// Replication of the configuration.
     pub control: ControlSettings,
-    /// Change of primary.
+    /// Detection of failed primaries.
     #[serde(default)]
     pub failover: FailoverSettings,
-    /// Groups.
+    /// Assignment of groups to hosts.
     #[serde(default)]
     pub groups: GroupSettings,
-    /// Sessions.
+    /// Session tokens.
     pub sessions: SessionSettings,
-    /// Logs.
+    /// Log levels.
     #[serde(default)]
     pub logs: LogSettings,
 }
@@ -175,19 +177,19 @@
 }
 
 impl DaemonSettings {
-    /// Reads and checks a settings file.
+    /// Reads, parses and validates a settings file.
     ///
     /// # Errors
-    /// `SettingsError` with the place, the reason and the mend.
+    /// `SettingsError` with the key or the line, and what to change.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).context(UnreadableSnafu { path })?;
         Self::parse(&text)
     }
 
-    /// Reads and checks settings from their text.
+    /// Parses and validates settings in YAML.
     ///
     /// # Errors
-    /// `SettingsError` with the place, the reason and the mend.
+    /// `SettingsError` with the key or the line, and what to change.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = serde_yaml_ng::from_str(text).context(MalformedSnafu)?;
         settings.check()?;
@@ -196,12 +198,12 @@
 
     fn check(&self) -> Result<(), SettingsError> {
         self.check_voters()?;
-        self.check_times()?;
+        self.check_timing()?;
         if self.groups.homes == 0 {
-            return impossible("groups.homes", "a group needs at least 1 home");
+            return reject_value("groups.homes", "a group needs at least 1 home");
         }
         if self.sessions.secret.len() < 16 {
-            return impossible("sessions.secret", "give a secret of at least 16 characters");
+            return reject_value("sessions.secret", "give a secret of at least 16 characters");
         }
         Ok(())
     }
@@ -210,33 +212,33 @@
         let control = &self.control;
         let ids: BTreeSet<HostId> = control.voters.iter().map(|voter| voter.id).collect();
         if ids.len() != control.voters.len() {
-            return impossible("control.voters", "two voters have the same id");
+            return reject_value("control.voters", "two voters have the same id");
         }
         if ids.len().is_multiple_of(2) || ids.len() > MAX_VOTERS {
-            return impossible("control.voters", "name 1, 3, 5 or 7 voters");
+            return reject_value("control.voters", "name 1, 3, 5 or 7 voters");
         }
         if ids.contains(&self.host.id) && control.data.is_none() {
-            return impossible("control.data", "this host votes and needs a data folder");
+            return reject_value("control.data", "this host votes and needs a data folder");
         }
         Ok(())
     }
 
-    fn check_times(&self) -> Result<(), SettingsError> {
+    fn check_timing(&self) -> Result<(), SettingsError> {
         let control = &self.control;
-        if control.renewal * RENEWALS_PER_LEASE > control.lease {
-            return impossible(
+        if control.renewal * MIN_RENEWALS_PER_LEASE > control.lease {
+            return reject_value(
                 "control.renewal",
                 "three renewals must fit into control.lease; shorten it or lengthen the lease",
             );
         }
-        if control.heartbeat * HEARTBEATS_PER_ELECTION > control.election_timeout {
-            return impossible(
+        if control.heartbeat * MIN_HEARTBEATS_PER_ELECTION > control.election_timeout {
+            return reject_value(
                 "control.heartbeat",
                 "three heartbeats must fit into control.election_timeout",
             );
         }
         if self.failover.suspect_after < Duration::from_millis(250) {
-            return impossible(
+            return reject_value(
                 "failover.suspect_after",
                 "give at least 250ms, so that a short pause does not replace a primary",
             );
@@ -244,12 +246,12 @@
         Ok(())
     }
 
-    /// True if this host votes in control.
+    /// True if this host is one of the voters.
     pub fn is_voter(&self) -> bool {
         self.control.voters.iter().any(|voter| voter.id == self.host.id)
     }
 
-    /// The part that the decisions need.
+    /// Settings of the host's state machine; `seed` should differ at every start.
     pub fn host_settings(&self, seed: u64) -> HostSettings {
         HostSettings {
             record: HostRecord {
@@ -272,6 +274,6 @@
     }
 }
 
-fn impossible(key: &'static str, reason: &str) -> Result<(), SettingsError> {
-    ImpossibleSnafu { key, reason }.fail()
+fn reject_value(key: &'static str, reason: &str) -> Result<(), SettingsError> {
+    InvalidValueSnafu { key, reason }.fail()
 }
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon: read from YAML, checked before anything starts.
+//! Settings of a daemon: parsed from YAML and validated before any service starts.
 
 mod daemon_settings;
 mod settings_error;
