--- a/crates/daemon/src/kernel/daemon_kernel.rs
+++ b/crates/daemon/src/kernel/daemon_kernel.rs
@@ -21,16 +21,17 @@
     settings::DaemonSettings,
 };
 
-/// Time between ticks of the decisions.
-const TICK: Duration = Duration::from_millis(10);
-/// Time for which callers are let finish at a graceful shutdown.
+/// Interval between tick events to the host service.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Longest wait for callers to finish at a graceful shutdown.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between the balancer's answer changing and callers being let go.
-const HEALTH_NOTICE: Duration = Duration::from_millis(500);
+/// Delay between the health check starting to fail and idle callers being
+/// disconnected, in which the balancer notices the failure.
+const HEALTH_NOTICE_DELAY: Duration = Duration::from_millis(500);
 
-/// A running daemon.
+/// Owns the services and tasks of a running daemon.
 pub struct DaemonKernel {
-    callers: SocketAddr,
+    callers_address: SocketAddr,
     host: ActorRef<HostMessage>,
     services: Vec<ActorCell>,
     tasks: TaskTracker,
@@ -39,7 +40,7 @@
     cancel: CancellationToken,
 }
 
-async fn listen(address: SocketAddr) -> Result<TcpListener, KernelError> {
+async fn bind_listener(address: SocketAddr) -> Result<TcpListener, KernelError> {
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
 
@@ -47,11 +48,11 @@
     /// Starts all services.
     ///
     /// # Errors
-    /// `KernelError` if a port or the data folder cannot be used, or the
-    /// journal is damaged.
+    /// `KernelError` if a port cannot be bound, the data folder cannot be used, the
+    /// journal is damaged, or the metrics or a service do not start.
     pub async fn start(settings: &DaemonSettings) -> Result<Self, KernelError> {
-        let me = settings.host.id;
-        let run = rand::random();
+        let host_id = settings.host.id;
+        let run_id = rand::random();
         let clock = HostClock::start();
         let cancel = CancellationToken::new();
         let closing = CancellationToken::new();
@@ -59,11 +60,12 @@
         let draining = watch::Sender::new(false);
         let metrics = DaemonMetrics::start().context(MetricsSnafu)?;
         let journal = open_journal(settings)?;
-        let callers = listen(settings.listen.callers).await?;
-        let peers = listen(settings.listen.peers).await?;
-        let operators = listen(settings.listen.operators).await?;
-        let callers_address =
-            callers.local_addr().context(ListenSnafu { address: settings.listen.callers })?;
+        let caller_listener = bind_listener(settings.listen.callers).await?;
+        let peer_listener = bind_listener(settings.listen.peers).await?;
+        let operator_listener = bind_listener(settings.listen.operators).await?;
+        let callers_address = caller_listener
+            .local_addr()
+            .context(ListenSnafu { address: settings.listen.callers })?;
 
         let (file, records) = match journal {
             Some((file, records)) => (Some(file), records),
@@ -73,30 +75,31 @@
             settings: settings.host_settings(rand::random()),
             journal: records,
             clock,
-            run,
+            run_id,
             voters: voter_addresses(settings),
             metrics: metrics.clone(),
             draining: draining.clone(),
         };
-        let name = |service: ServiceName| Some(service.path(me, run));
-        let spawned = Actor::spawn(name(ServiceName::Host), HostService, arguments).await;
+        let registry_name = |service: ServiceName| Some(service.registry_name(host_id, run_id));
+        let spawned = Actor::spawn(registry_name(ServiceName::Host), HostService, arguments).await;
         let (host, _) = spawned.context(SpawnSnafu { service: "host" })?;
         let mut services = vec![host.get_cell()];
 
         if let Some(file) = file {
             let arguments = JournalArguments { file, host: host.clone() };
-            let name = name(ServiceName::Journal);
+            let name = registry_name(ServiceName::Journal);
             let spawned = Actor::spawn(name, JournalService, arguments).await;
             services.push(spawned.context(SpawnSnafu { service: "journal" })?.0.get_cell());
         }
         let arguments = PeersArguments {
-            me,
+            host_id,
             host: host.clone(),
-            listener: peers,
+            listener: peer_listener,
             cancel: cancel.clone(),
             metrics: metrics.clone(),
         };
-        let spawned = Actor::spawn(name(ServiceName::Peers), PeersService, arguments).await;
+        let spawned =
+            Actor::spawn(registry_name(ServiceName::Peers), PeersService, arguments).await;
         services.push(spawned.context(SpawnSnafu { service: "peers" })?.0.get_cell());
 
         let store = ConnectionStore::default();
@@ -106,26 +109,27 @@
             store: store.clone(),
             cancel: cancel.clone(),
         };
-        let spawned = Actor::spawn(name(ServiceName::Upstreams), UpstreamsService, arguments).await;
+        let spawned =
+            Actor::spawn(registry_name(ServiceName::Upstreams), UpstreamsService, arguments).await;
         services.push(spawned.context(SpawnSnafu { service: "upstreams" })?.0.get_cell());
 
         let tasks = TaskTracker::new();
-        tokio::spawn(tick(host.clone(), cancel.clone()));
+        tokio::spawn(send_ticks(host.clone(), cancel.clone()));
         let context = OperatorContext {
             host: host.clone(),
-            closing: unhealthy.clone(),
+            unhealthy: unhealthy.clone(),
             draining: draining.subscribe(),
             metrics,
         };
         let routes = operator_routes(context);
-        let stopped = cancel.clone();
+        let shutdown = cancel.clone();
         tokio::spawn(async move {
-            let serving = axum::serve(operators, routes);
-            let _ = serving.with_graceful_shutdown(stopped.cancelled_owned()).await;
+            let server = axum::serve(operator_listener, routes);
+            let _ = server.with_graceful_shutdown(shutdown.cancelled_owned()).await;
         });
-        let kept_host = host.clone();
-        let listener = CallerListener {
-            listener: callers,
+        let host_ref = host.clone();
+        let callers = CallerListener {
+            listener: caller_listener,
             context: CallerContext {
                 host,
                 clock,
@@ -141,40 +145,39 @@
             tasks: tasks.clone(),
             cancel: cancel.clone(),
         };
-        tokio::spawn(listener.run());
-        log::info!(target: "kernel", "Host {me} accepts callers at {callers_address}.");
-        Ok(Self {
-            callers: callers_address,
-            host: kept_host,
-            services,
-            tasks,
-            closing,
-            unhealthy,
-            cancel,
-        })
+        tokio::spawn(callers.run());
+        log::info!(target: "kernel", "Host {host_id} accepts callers on {callers_address}.");
+        Ok(Self { callers_address, host: host_ref, services, tasks, closing, unhealthy, cancel })
     }
 
-    /// Where callers are accepted.
+    /// Bound address of the callers' listener.
     pub fn callers_address(&self) -> SocketAddr {
-        self.callers
+        self.callers_address
     }
 
-    /// Stops gracefully: the balancer is told first, idle callers are let go,
-    /// requests and transactions under way finish.
+    /// Stops gracefully: the health check fails first, so that the balancer sends
+    /// no new callers; then idle callers are disconnected, and the others may
+    /// finish their requests and transactions for `DRAIN_TIMEOUT` at most.
     pub async fn shut_down(self) {
-        log::info!(target: "kernel", "The daemon shuts down.");
+        log::info!(
+            target: "kernel",
+            "Shutting down: the health check fails; idle callers are disconnected next."
+        );
         self.unhealthy.cancel();
         let _ = self.host.send_message(HostMessage::Event(HostEvent::Leaving));
-        tokio::time::sleep(HEALTH_NOTICE).await;
+        tokio::time::sleep(HEALTH_NOTICE_DELAY).await;
         self.closing.cancel();
         self.tasks.close();
         if tokio::time::timeout(DRAIN_TIMEOUT, self.tasks.wait()).await.is_err() {
-            log::warn!(target: "kernel", "Some callers did not finish in time.");
+            log::warn!(
+                target: "kernel",
+                "Some callers did not finish in time; their connections are closed."
+            );
         }
         self.kill();
     }
 
-    /// Stops at once, as a crash would.
+    /// Stops all services and tasks immediately, as a crash would.
     pub fn kill(self) {
         self.cancel.cancel();
         for service in &self.services {
@@ -192,8 +195,8 @@
     }
 }
 
-async fn tick(host: ActorRef<HostMessage>, cancel: CancellationToken) {
-    let mut interval = tokio::time::interval(TICK);
+async fn send_ticks(host: ActorRef<HostMessage>, cancel: CancellationToken) {
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
--- a/crates/daemon/src/kernel/host_clock.rs
+++ b/crates/daemon/src/kernel/host_clock.rs
@@ -8,17 +8,17 @@
 }
 
 impl HostClock {
-    /// A clock that starts now.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Self { started_at: Instant::now() }
     }
 
-    /// The time.
+    /// Time since the clock was started, with microsecond resolution.
     pub fn now(&self) -> Moment {
         Moment::from_micros(self.started_at.elapsed().as_micros() as u64)
     }
 
-    /// The same moment on the runtime's clock.
+    /// Converts a reading of this clock to an instant of the runtime.
     pub fn instant(&self, moment: Moment) -> Instant {
         self.started_at + std::time::Duration::from_micros(moment.as_micros())
     }
--- a/crates/daemon/src/kernel/kernel_error.rs
+++ b/crates/daemon/src/kernel/kernel_error.rs
@@ -8,46 +8,46 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum KernelError {
-    /// An address cannot be listened on.
+    /// A listener could not be bound.
     #[snafu(display("cannot listen on {address}: {source}; free the port or change `listen`"))]
     Listen {
-        /// The address.
+        /// The address, as given in the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The data folder cannot be used.
     #[snafu(display("cannot use the data folder {}: {source}", path.display()))]
     DataFolder {
-        /// The folder or file.
+        /// The folder or file that could not be used.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The journal is damaged.
     #[snafu(display(
-        "result 601: {} is damaged at byte {offset}; move the data folder away and start again, \
-         the other voters repair it",
+        "result 601: {} is damaged at byte {offset}; move the data folder away and restart; \
+         the other voters restore its contents",
         path.display()
     ))]
     JournalDamaged {
-        /// The journal.
+        /// The journal file.
         path: PathBuf,
-        /// Where the damage begins.
+        /// Byte offset of the first damaged record.
         offset: u64,
     },
-    /// Metrics cannot be had.
+    /// The metrics exporter could not be set up.
     #[snafu(display("{source}"))]
     Metrics {
-        /// What is wrong.
+        /// The cause.
         source: MetricsError,
     },
     /// A service did not start.
     #[snafu(display("service {service} did not start: {source}"))]
     Spawn {
-        /// The service.
+        /// Name of the service.
         service: &'static str,
-        /// What the runtime said.
+        /// Error of the actor runtime.
         source: ractor::SpawnErr,
     },
 }
--- a/crates/daemon/src/kernel/mod.rs
+++ b/crates/daemon/src/kernel/mod.rs
@@ -1,5 +1,5 @@
-//! The micro-kernel: starts services, lets them find each other by name, and
-//! stops them.
+//! Starts the daemon's services, registers them by name so that they find each
+//! other, and stops them.
 
 mod daemon_kernel;
 mod host_clock;
--- a/crates/daemon/src/kernel/service_name.rs
+++ b/crates/daemon/src/kernel/service_name.rs
@@ -1,21 +1,21 @@
 use hawthornstack_decisions::identity::HostId;
 use ractor::{ActorRef, Message};
 
-/// Services of a daemon, by the name under which they find each other.
+/// Services of a daemon that are registered by name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ServiceName {
-    /// The host's decisions.
+    /// The service that runs the host's state machine.
     Host,
-    /// The voter's journal.
+    /// The journal of a voter; other hosts have none.
     Journal,
-    /// Links to other hosts.
+    /// The links to other hosts.
     Peers,
-    /// Reports of and orders to databases.
+    /// Polls databases for reports and sends them orders.
     Upstreams,
 }
 
 impl ServiceName {
-    /// The word for it.
+    /// Last part of the registry name.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Host => "host",
@@ -25,15 +25,15 @@
         }
     }
 
-    /// The name in the registry, unique also with several daemons in one
-    /// process.
-    pub fn path(self, host: HostId, run: u64) -> String {
-        format!("{host}/{run:x}/{}", self.as_str())
+    /// Name in the actor registry: `HOST/RUN/NAME`, with the run in hexadecimal. The
+    /// run keeps it unique if one process runs several daemons.
+    pub fn registry_name(self, host: HostId, run_id: u64) -> String {
+        format!("{host}/{run_id:x}/{}", self.as_str())
     }
 
-    /// Finds the service of a daemon; `None` before its start and after its
-    /// end.
-    pub fn find<M: Message>(self, host: HostId, run: u64) -> Option<ActorRef<M>> {
-        ActorRef::where_is(self.path(host, run))
+    /// Looks up a daemon's service in the registry; `None` before it starts and after
+    /// it stops.
+    pub fn find<M: Message>(self, host: HostId, run_id: u64) -> Option<ActorRef<M>> {
+        ActorRef::where_is(self.registry_name(host, run_id))
     }
 }
--- a/crates/daemon/src/pg_callers/keyed_request.rs
+++ b/crates/daemon/src/pg_callers/keyed_request.rs
@@ -122,7 +122,7 @@
 
     async fn run_once(&self, runner: &RequestRunner<'_>, state: &mut CallerState) -> RunEnd {
         let arrival = runner.arrival(state, RequestKind::Write);
-        let mut handle = RequestHandle::arrive(&runner.context.host, arrival);
+        let mut handle = RequestHandle::submit(&runner.context.host, arrival);
         let mut held = AnswerWriter::default();
         loop {
             match handle.next().await {
--- a/crates/daemon/src/pg_callers/request_runner.rs
+++ b/crates/daemon/src/pg_callers/request_runner.rs
@@ -209,7 +209,7 @@
     ) -> RunEnd {
         let arrival = self.arrival(state, kind);
         let deadline = self.context.clock.instant(arrival.deadline);
-        let mut handle = RequestHandle::arrive(&self.context.host, arrival);
+        let mut handle = RequestHandle::submit(&self.context.host, arrival);
         let mut held = AnswerWriter::default();
         loop {
             match handle.next().await {
@@ -257,7 +257,7 @@
     ) -> Result<OpenTransaction, ResultCode> {
         let kind = state.request_kind(!read_only);
         let arrival = RequestArrival { transaction: true, ..self.arrival(state, kind) };
-        let mut handle = RequestHandle::arrive(&self.context.host, arrival);
+        let mut handle = RequestHandle::submit(&self.context.host, arrival);
         loop {
             match handle.next().await {
                 RequestSignal::Conclude(conclusion) => return Err(conclusion.result),
--- a/crates/daemon/src/pg_host/host_message.rs
+++ b/crates/daemon/src/pg_host/host_message.rs
@@ -9,35 +9,36 @@
 use hawthornstack_wire::operators::StatusResponse;
 use tokio::sync::{mpsc::UnboundedSender, oneshot};
 
-/// What the host tells a waiting request.
+/// What the host service tells the task of a request.
 #[derive(Debug, Clone)]
 pub enum RequestSignal {
-    /// Use a connection to this database.
+    /// Run the request on a connection to this database.
     Dispatch {
-        /// The database.
+        /// Name of the database.
         database: DatabaseName,
-        /// Where it is.
+        /// Address on which it accepts connections.
         address: SocketAddr,
-        /// It is the group's primary.
+        /// True if it is the group's primary.
         is_primary: bool,
     },
-    /// One of these homes is to run it; it is over here.
+    /// Forward the request to one of these gateways of its group, the nearest first.
+    /// This host service sends no more signals for it.
     Forward(Vec<GatewayAddress>),
-    /// The request is over.
+    /// The request has ended with this result.
     Conclude(RequestResult),
 }
 
-/// Requests to the host service.
+/// Messages to the host service.
 #[derive(Debug)]
 pub enum HostMessage {
-    /// An event for the decisions.
+    /// An event for the host's state machine.
     Event(HostEvent),
-    /// A request arrives; its signals go to the sender.
-    Arrive(RequestArrival, UnboundedSender<RequestSignal>),
-    /// An operator asks.
+    /// A caller's request; its signals go to the sender.
+    Submit(RequestArrival, UnboundedSender<RequestSignal>),
+    /// An operator's question; its answer goes to the sender.
     Ask(OperatorQuestion, oneshot::Sender<OperatorAnswer>),
-    /// The state of the system as seen here.
+    /// A request for the state of the system as this host sees it.
     Status(oneshot::Sender<StatusResponse>),
-    /// The audit trail as known here.
+    /// A request for the audit trail as applied on this host.
     Audit(oneshot::Sender<Vec<AuditRecord>>),
 }
--- a/crates/daemon/src/pg_host/host_service.rs
+++ b/crates/daemon/src/pg_host/host_service.rs
@@ -9,7 +9,7 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::{mpsc::UnboundedSender, oneshot, watch};
 
-use super::{HostMessage, RequestSignal, status_page::status_page};
+use super::{HostMessage, RequestSignal, status_response::build_status};
 use crate::{
     journal::JournalMessage,
     kernel::{HostClock, ServiceName},
@@ -18,49 +18,52 @@
     pg_upstreams::UpstreamsMessage,
 };
 
-/// Holds the host's decisions; every event passes through it, in order.
+/// Runs the host's state machine: applies every event in order of arrival and
+/// executes the effects.
 #[derive(Debug)]
 pub struct HostService;
 
-/// What the service needs at its start.
+/// Arguments with which the service starts.
 #[derive(Debug)]
 pub struct HostArguments {
-    /// Identity and times.
+    /// Settings of the state machine.
     pub settings: HostSettings,
-    /// Records of the journal.
+    /// Records read from the journal; none if this host is no voter.
     pub journal: Vec<JournalRecord>,
-    /// The host's clock.
+    /// Clock of this daemon, shared with the other services.
     pub clock: HostClock,
-    /// Number of this run, part of the services' names.
-    pub run: u64,
-    /// Addresses of the voters.
+    /// Random number of this run, part of the services' registry names.
+    pub run_id: u64,
+    /// Peer addresses of the voters, for those that have not joined yet.
     pub voters: HashMap<HostId, SocketAddr>,
-    /// Counts requests.
+    /// Metrics of requests and dispatches.
     pub metrics: DaemonMetrics,
-    /// Told when an operator drains this host.
+    /// Set to true while an operator drains this host.
     pub draining: watch::Sender<bool>,
 }
 
-/// A caller's task that waits for signals.
+/// A request whose task waits for signals.
 struct WaitingRequest {
     signals: UnboundedSender<RequestSignal>,
     arrived_at: Moment,
 }
 
-/// What the service holds while it runs.
+/// State of the running service.
 pub struct HostServiceState {
-    state: HostState,
-    id: HostId,
+    host_state: HostState,
+    host_id: HostId,
     clock: HostClock,
-    run: u64,
+    run_id: u64,
     voters: HashMap<HostId, SocketAddr>,
-    requests: HashMap<RequestId, WaitingRequest>,
-    questions: HashMap<u64, oneshot::Sender<OperatorAnswer>>,
+    waiting_requests: HashMap<RequestId, WaitingRequest>,
+    /// Senders of operators' answers by ticket, the number of the question.
+    pending_answers: HashMap<u64, oneshot::Sender<OperatorAnswer>>,
     last_ticket: u64,
     peers: Option<ActorRef<PeersMessage>>,
     journal: Option<ActorRef<JournalMessage>>,
     upstreams: Option<ActorRef<UpstreamsMessage>>,
-    delayed: Vec<HostEffect>,
+    /// Effects for services that have not started yet.
+    deferred_effects: Vec<HostEffect>,
     metrics: DaemonMetrics,
     draining: watch::Sender<bool>,
 }
@@ -75,22 +78,23 @@
         _myself: ActorRef<HostMessage>,
         arguments: HostArguments,
     ) -> Result<HostServiceState, ActorProcessingErr> {
-        let HostArguments { settings, journal, clock, run, voters, metrics, draining } = arguments;
-        let id = settings.id();
-        let state = HostState::new(settings, journal, clock.now());
+        let HostArguments { settings, journal, clock, run_id, voters, metrics, draining } =
+            arguments;
+        let host_id = settings.id();
+        let host_state = HostState::new(settings, journal, clock.now());
         Ok(HostServiceState {
-            state,
-            id,
+            host_state,
+            host_id,
             clock,
-            run,
+            run_id,
             voters,
-            requests: HashMap::new(),
-            questions: HashMap::new(),
+            waiting_requests: HashMap::new(),
+            pending_answers: HashMap::new(),
             last_ticket: 0,
             peers: None,
             journal: None,
             upstreams: None,
-            delayed: Vec::new(),
+            deferred_effects: Vec::new(),
             metrics,
             draining,
         })
@@ -104,17 +108,18 @@
     ) -> Result<(), ActorProcessingErr> {
         match message {
             HostMessage::Event(event) => state.step(event),
-            HostMessage::Arrive(arrival, signals) => {
+            HostMessage::Submit(arrival, signals) => {
                 let waiting = WaitingRequest { signals, arrived_at: state.clock.now() };
-                state.requests.insert(arrival.request, waiting);
+                state.waiting_requests.insert(arrival.request, waiting);
                 state.step(HostEvent::RequestArrived(arrival));
             }
-            HostMessage::Ask(question, answer) => state.ask(question, answer),
+            HostMessage::Ask(question, answer) => state.submit_question(question, answer),
             HostMessage::Status(answer) => {
-                let _ = answer.send(status_page(&state.state, state.id, state.clock.now()));
+                let _ =
+                    answer.send(build_status(&state.host_state, state.host_id, state.clock.now()));
             }
             HostMessage::Audit(answer) => {
-                let _ = answer.send(state.state.control().audit.clone());
+                let _ = answer.send(state.host_state.control().audit.clone());
             }
         }
         Ok(())
@@ -123,72 +128,81 @@
 
 impl HostServiceState {
     fn step(&mut self, event: HostEvent) {
-        let effects = self.state.step(self.clock.now(), event);
+        let effects = self.host_state.step(self.clock.now(), event);
         self.find_services();
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
     }
 
-    /// The other services start after this one.
+    /// Looks up the other services, which start after this one. Once `Upstreams`, the
+    /// last of them, is found, executes the deferred effects.
     fn find_services(&mut self) {
         if self.upstreams.is_some() && self.peers.is_some() {
             return;
         }
-        self.peers = ServiceName::Peers.find(self.id, self.run);
-        self.journal = ServiceName::Journal.find(self.id, self.run);
-        self.upstreams = ServiceName::Upstreams.find(self.id, self.run);
+        self.peers = ServiceName::Peers.find(self.host_id, self.run_id);
+        self.journal = ServiceName::Journal.find(self.host_id, self.run_id);
+        self.upstreams = ServiceName::Upstreams.find(self.host_id, self.run_id);
         if self.upstreams.is_some() {
-            for effect in std::mem::take(&mut self.delayed) {
-                self.carry_out(effect);
+            for effect in std::mem::take(&mut self.deferred_effects) {
+                self.execute(effect);
             }
         }
     }
 
-    fn ask(&mut self, question: OperatorQuestion, answer: oneshot::Sender<OperatorAnswer>) {
+    fn submit_question(
+        &mut self,
+        question: OperatorQuestion,
+        answer: oneshot::Sender<OperatorAnswer>,
+    ) {
         self.last_ticket += 1;
         let ticket = self.last_ticket;
-        self.questions.insert(ticket, answer);
+        self.pending_answers.insert(ticket, answer);
         self.step(HostEvent::OperatorAsked { ticket, question });
     }
 
-    fn answer(&mut self, ticket: u64, answer: OperatorAnswer) {
-        if let Some(question) = self.questions.remove(&ticket) {
-            let _ = question.send(answer);
+    fn send_answer(&mut self, ticket: u64, answer: OperatorAnswer) {
+        if let Some(sender) = self.pending_answers.remove(&ticket) {
+            let _ = sender.send(answer);
         }
     }
 
-    fn signal(&mut self, request: RequestId, signal: RequestSignal) {
-        let Some(waiting) = self.requests.get(&request) else {
+    /// Sends a signal to the task of a request and records it in the metrics. The
+    /// entry is removed with the last signal, or once the task has ended.
+    fn send_signal(&mut self, request: RequestId, signal: RequestSignal) {
+        let Some(waiting) = self.waiting_requests.get(&request) else {
             return;
         };
-        let over = match &signal {
+        let is_last = match &signal {
             RequestSignal::Dispatch { is_primary, .. } => {
                 self.metrics.count_dispatch(*is_primary);
                 false
             }
             RequestSignal::Forward(_) => true,
-            RequestSignal::Conclude(conclusion) => {
+            RequestSignal::Conclude(request_result) => {
                 let elapsed = self.clock.now().since(waiting.arrived_at);
-                self.metrics.count_request(conclusion.result, elapsed.as_secs_f64());
+                self.metrics.count_request(request_result.result, elapsed.as_secs_f64());
                 true
             }
         };
-        let gone = waiting.signals.send(signal).is_err();
-        if over || gone {
-            self.requests.remove(&request);
+        let task_ended = waiting.signals.send(signal).is_err();
+        if is_last || task_ended {
+            self.waiting_requests.remove(&request);
         }
     }
 
-    fn address_of(&self, host: HostId) -> Option<SocketAddr> {
-        let joined = self.state.control().hosts.get(&host).map(|record| record.peer_address);
+    /// Peer address of a host: as committed, or as in the settings for a voter that
+    /// has not joined.
+    fn find_address(&self, host: HostId) -> Option<SocketAddr> {
+        let joined = self.host_state.control().hosts.get(&host).map(|record| record.peer_address);
         joined.or_else(|| self.voters.get(&host).copied())
     }
 
-    fn carry_out(&mut self, effect: HostEffect) {
+    fn execute(&mut self, effect: HostEffect) {
         match effect {
             HostEffect::Send(to, message) => {
-                let address = self.address_of(to);
+                let address = self.find_address(to);
                 if let Some(peers) = &self.peers {
                     let _ = peers.send_message(PeersMessage::Send { to, address, message });
                 }
@@ -197,23 +211,23 @@
                 if let Some(journal) = &self.journal {
                     let _ = journal.send_message(JournalMessage::Persist { number, records });
                 } else {
-                    self.delayed.push(HostEffect::Persist { number, records });
+                    self.deferred_effects.push(HostEffect::Persist { number, records });
                 }
             }
             HostEffect::Watch { .. } | HostEffect::Unwatch(_) | HostEffect::Order { .. } => {
-                self.instruct_upstreams(effect);
+                self.send_to_upstreams(effect);
             }
             HostEffect::Dispatch { request, database, address, is_primary } => {
                 let signal = RequestSignal::Dispatch { database, address, is_primary };
-                self.signal(request, signal);
+                self.send_signal(request, signal);
             }
-            HostEffect::Forward(request, homes) => {
-                self.signal(request, RequestSignal::Forward(homes));
+            HostEffect::Forward(request, gateways) => {
+                self.send_signal(request, RequestSignal::Forward(gateways));
             }
-            HostEffect::Complete(request, conclusion) => {
-                self.signal(request, RequestSignal::Conclude(conclusion));
+            HostEffect::Complete(request, result) => {
+                self.send_signal(request, RequestSignal::Conclude(result));
             }
-            HostEffect::Answer { ticket, answer } => self.answer(ticket, answer),
+            HostEffect::Answer { ticket, answer } => self.send_answer(ticket, answer),
             HostEffect::SetDraining(draining) => {
                 log::info!(target: "host", "An operator set draining to {draining}.");
                 self.draining.send_replace(draining);
@@ -221,15 +235,15 @@
             HostEffect::AnnouncementRefused { database, result } => {
                 let number = result.number();
                 let text = result.text();
-                log::warn!(target: "host", "Announcement of {database} refused ({number}): {text}");
+                log::warn!(target: "host", "Refused announcement of {database} ({number}): {text}");
             }
             HostEffect::Log(text) => log::info!(target: "host", "{text}"),
         }
     }
 
-    fn instruct_upstreams(&mut self, effect: HostEffect) {
+    fn send_to_upstreams(&mut self, effect: HostEffect) {
         let Some(upstreams) = &self.upstreams else {
-            self.delayed.push(effect);
+            self.deferred_effects.push(effect);
             return;
         };
         let message = match effect {
@@ -246,7 +260,7 @@
     }
 }
 
-/// Names of voters by number, as settings give them.
+/// Peer addresses of the voters, as given in the settings.
 pub(crate) fn voter_addresses(
     settings: &crate::settings::DaemonSettings,
 ) -> HashMap<HostId, SocketAddr> {
--- a/crates/daemon/src/pg_host/mod.rs
+++ b/crates/daemon/src/pg_host/mod.rs
@@ -1,9 +1,9 @@
-//! The service that holds the host's decisions and carries out their effects.
+//! The service that runs the host's state machine and executes its effects.
 
 mod host_message;
 mod host_service;
 mod request_handle;
-mod status_page;
+mod status_response;
 
 pub use host_message::{HostMessage, RequestSignal};
 pub(crate) use host_service::voter_addresses;
--- a/crates/daemon/src/pg_host/request_handle.rs
+++ b/crates/daemon/src/pg_host/request_handle.rs
@@ -14,38 +14,40 @@
 
 use super::{HostMessage, RequestSignal};
 
-/// Numbers requests of one daemon.
+/// Counter from which a daemon's requests get their ids; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct RequestNumbers(Arc<AtomicU64>);
 
 impl RequestNumbers {
-    /// The next number.
+    /// Takes the next id, unique in this run of the daemon.
     pub fn next(&self) -> RequestId {
         RequestId(self.0.fetch_add(1, Ordering::Relaxed))
     }
 }
 
-/// A caller task's hold on one request. Dropping it tells the host that the
-/// caller is gone and that nothing runs any more.
+/// Handle of a caller's task to one request. If it is dropped before the request
+/// ends, the host service is told that the caller is gone and that nothing runs at
+/// the database any more.
 #[derive(Debug)]
 pub struct RequestHandle {
     host: ActorRef<HostMessage>,
     request: RequestId,
     signals: UnboundedReceiver<RequestSignal>,
     running: bool,
-    over: bool,
+    finished: bool,
 }
 
 impl RequestHandle {
-    /// Hands the request to the host.
-    pub fn arrive(host: &ActorRef<HostMessage>, arrival: RequestArrival) -> Self {
+    /// Submits the request to the host service.
+    pub fn submit(host: &ActorRef<HostMessage>, arrival: RequestArrival) -> Self {
         let (sender, signals) = unbounded_channel();
         let request = arrival.request;
-        let _ = host.send_message(HostMessage::Arrive(arrival, sender));
-        Self { host: host.clone(), request, signals, running: false, over: false }
+        let _ = host.send_message(HostMessage::Submit(arrival, sender));
+        Self { host: host.clone(), request, signals, running: false, finished: false }
     }
 
-    /// Waits for the next signal; a host that is gone concludes the request.
+    /// Waits for the next signal. If the host service has stopped, the request ends
+    /// with `ResultCode::ShuttingDown`.
     pub async fn next(&mut self) -> RequestSignal {
         let signal = self.signals.recv().await.unwrap_or(RequestSignal::Conclude(RequestResult {
             result: ResultCode::ShuttingDown,
@@ -54,12 +56,12 @@
         }));
         match signal {
             RequestSignal::Dispatch { .. } => self.running = true,
-            RequestSignal::Forward(_) | RequestSignal::Conclude(_) => self.over = true,
+            RequestSignal::Forward(_) | RequestSignal::Conclude(_) => self.finished = true,
         }
         signal
     }
 
-    /// Tells the host what became of the request at its database.
+    /// Reports to the host service how the request ended at its database.
     pub fn report(&mut self, report: ExecutionReport) {
         self.running = false;
         let event = HostEvent::RequestExecuted(self.request, report);
@@ -69,7 +71,7 @@
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
-        if self.over {
+        if self.finished {
             return;
         }
         if self.running {
--- a/crates/daemon/src/pg_host/status_page.rs
+++ b/crates/daemon/src/pg_host/status_response.rs
@@ -7,8 +7,9 @@
 };
 use hawthornstack_wire::operators::{GroupStatus, HostStatus, MemberStatus, StatusResponse};
 
-/// The state of the system as this host sees it.
-pub(super) fn status_page(state: &HostState, host: HostId, now: Moment) -> StatusResponse {
+/// Builds the response to a status request: the configuration as applied on this
+/// host, and what it observes of the databases of the groups it is a gateway of.
+pub(super) fn build_status(state: &HostState, host: HostId, now: Moment) -> StatusResponse {
     let control = state.control();
     StatusResponse {
         host,
@@ -52,7 +53,7 @@
             .members
             .values()
             .map(|member| {
-                member_status(member, view.and_then(|v| v.databases.get(&member.database)))
+                member_status(member, view.and_then(|view| view.databases.get(&member.database)))
             })
             .collect(),
         waiting: view.map_or(0, GroupView::waiting_count),
--- a/crates/daemon/src/pg_operators/mod.rs
+++ b/crates/daemon/src/pg_operators/mod.rs
@@ -1,4 +1,5 @@
-//! Operators', upstreams' and the balancer's interface: JSON over HTTP.
+//! HTTP interface for operators, upstreams' announcements and the balancer's health
+//! check; bodies are JSON.
 
 mod operator_routes;
 
--- a/crates/daemon/src/pg_operators/operator_routes.rs
+++ b/crates/daemon/src/pg_operators/operator_routes.rs
@@ -27,23 +27,23 @@
 
 use crate::{metrics::DaemonMetrics, pg_host::HostMessage};
 
-/// Time for the host to answer.
+/// Longest wait for the host service to answer an operator's question.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What the routes share.
+/// State shared by the handlers of all routes.
 #[derive(Clone)]
 pub struct OperatorContext {
-    /// The host's decisions.
+    /// The host service.
     pub host: ActorRef<HostMessage>,
-    /// Cancelled once this host takes no new callers.
-    pub closing: CancellationToken,
-    /// True while an operator drains this host.
+    /// Cancelled when this host shuts down; the health check fails from then on.
+    pub unhealthy: CancellationToken,
+    /// True while an operator drains this host; the health check fails meanwhile.
     pub draining: watch::Receiver<bool>,
-    /// The daemon's metrics.
+    /// Source of the metrics page.
     pub metrics: DaemonMetrics,
 }
 
-/// Builds the routes of a host.
+/// Router for the paths of `hawthornstack_wire::operators`.
 pub fn operator_routes(context: OperatorContext) -> Router {
     Router::new()
         .route(ANNOUNCE_PATH, post(announce))
@@ -56,7 +56,12 @@
         .with_state(context)
 }
 
-fn refusal(status: StatusCode, code: ResultCode, text: &str, leader: Option<HostId>) -> Response {
+fn error_response(
+    status: StatusCode,
+    code: ResultCode,
+    text: &str,
+    leader: Option<HostId>,
+) -> Response {
     let body = ErrorResponse {
         code: code.number(),
         text: text.to_owned(),
@@ -66,9 +71,10 @@
     (status, Json(body)).into_response()
 }
 
-fn not_current(leader: Option<HostId>) -> Response {
+/// Response if no host was reached that can prove to be the leader.
+fn not_current_response(leader: Option<HostId>) -> Response {
     let code = ResultCode::NotCurrent;
-    refusal(StatusCode::SERVICE_UNAVAILABLE, code, code.text(), leader)
+    error_response(StatusCode::SERVICE_UNAVAILABLE, code, code.text(), leader)
 }
 
 async fn announce(
@@ -82,7 +88,7 @@
     }
 }
 
-async fn ask(context: &OperatorContext, question: OperatorQuestion) -> OperatorAnswer {
+async fn ask_host(context: &OperatorContext, question: OperatorQuestion) -> OperatorAnswer {
     let (sender, receiver) = oneshot::channel();
     let _ = context.host.send_message(HostMessage::Ask(question, sender));
     match timeout(ANSWER_TIMEOUT, receiver).await {
@@ -95,7 +101,7 @@
     State(context): State<OperatorContext>,
     Json(request): Json<PlanRequest>,
 ) -> Response {
-    match ask(&context, OperatorQuestion::Plan(request.intent)).await {
+    match ask_host(&context, OperatorQuestion::Plan(request.intent)).await {
         OperatorAnswer::Plan(Ok(plan)) => Json(PlanResponse {
             id: plan.id,
             base_version: plan.base_version,
@@ -104,10 +110,10 @@
         })
         .into_response(),
         OperatorAnswer::Plan(Err(text)) => {
-            refusal(StatusCode::BAD_REQUEST, ResultCode::BadDeclaration, &text, None)
+            error_response(StatusCode::BAD_REQUEST, ResultCode::BadDeclaration, &text, None)
         }
-        OperatorAnswer::NotCurrent(leader) => not_current(leader),
-        OperatorAnswer::Confirm(_) => not_current(None),
+        OperatorAnswer::NotCurrent(leader) => not_current_response(leader),
+        OperatorAnswer::Confirm(_) => not_current_response(None),
     }
 }
 
@@ -122,23 +128,23 @@
         operator: request.operator,
         at_unix_ms: at.as_millis() as u64,
     };
-    match ask(&context, question).await {
-        OperatorAnswer::Confirm(answer) => confirmation(answer),
-        OperatorAnswer::NotCurrent(leader) => not_current(leader),
-        OperatorAnswer::Plan(_) => not_current(None),
+    match ask_host(&context, question).await {
+        OperatorAnswer::Confirm(confirmation) => confirmation_response(confirmation),
+        OperatorAnswer::NotCurrent(leader) => not_current_response(leader),
+        OperatorAnswer::Plan(_) => not_current_response(None),
     }
 }
 
-fn confirmation(answer: ConfirmationResult) -> Response {
-    let status = match answer.result {
+fn confirmation_response(confirmation: ConfirmationResult) -> Response {
+    let status = match confirmation.result {
         ResultCode::Done => StatusCode::OK,
         _ => StatusCode::CONFLICT,
     };
     let body = ConfirmResponse {
-        code: answer.result.number(),
-        text: answer.result.text().to_owned(),
-        version: answer.version,
-        changed_since: answer.changed_since.iter().map(ToString::to_string).collect(),
+        code: confirmation.result.number(),
+        text: confirmation.result.text().to_owned(),
+        version: confirmation.version,
+        changed_since: confirmation.changed_since.iter().map(ToString::to_string).collect(),
     };
     (status, Json(body)).into_response()
 }
@@ -147,8 +153,8 @@
     let (sender, receiver) = oneshot::channel();
     let _ = context.host.send_message(HostMessage::Status(sender));
     match receiver.await {
-        Ok(page) => Json(page).into_response(),
-        Err(_) => not_current(None),
+        Ok(status) => Json(status).into_response(),
+        Err(_) => not_current_response(None),
     }
 }
 
@@ -157,7 +163,7 @@
     let _ = context.host.send_message(HostMessage::Audit(sender));
     match receiver.await {
         Ok(records) => Json(records).into_response(),
-        Err(_) => not_current(None),
+        Err(_) => not_current_response(None),
     }
 }
 
@@ -165,13 +171,14 @@
     context.metrics.page()
 }
 
-/// Tells the balancer whether to send callers here.
+/// Health check of the balancer: succeeds while this host has a lease and is neither
+/// shutting down nor draining.
 async fn health(State(context): State<OperatorContext>) -> StatusCode {
     let (sender, receiver) = oneshot::channel();
     let _ = context.host.send_message(HostMessage::Status(sender));
-    let serves = receiver.await.is_ok_and(|page| page.has_lease);
-    let leaving = context.closing.is_cancelled() || *context.draining.borrow();
-    match serves && !leaving {
+    let has_lease = receiver.await.is_ok_and(|status| status.has_lease);
+    let leaving = context.unhealthy.is_cancelled() || *context.draining.borrow();
+    match has_lease && !leaving {
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
     }
--- a/crates/daemon/src/pg_peers/mod.rs
+++ b/crates/daemon/src/pg_peers/mod.rs
@@ -1,4 +1,4 @@
-//! Links to other hosts: WebSocket frames of CBOR.
+//! Links to other hosts: CBOR messages in WebSocket frames.
 
 mod peer_link;
 mod peers_service;
--- a/crates/daemon/src/pg_peers/peer_link.rs
+++ b/crates/daemon/src/pg_peers/peer_link.rs
@@ -24,62 +24,72 @@
     pg_host::HostMessage,
 };
 
-/// Messages that may wait for a link before new ones are dropped.
-const LINK_QUEUE: usize = 4_096;
-/// Time for a connection and its handshake.
+/// Messages queued for one link; more are dropped.
+const LINK_QUEUE_CAPACITY: usize = 4_096;
+/// Timeout of opening a link: TCP connect and WebSocket handshake when dialling, the
+/// handshake alone when accepting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// What a link needs from the service.
+/// Shared by the links of one service.
 #[derive(Debug, Clone)]
 pub(super) struct LinkContext {
-    pub(super) me: HostId,
+    pub(super) host_id: HostId,
     pub(super) host: ActorRef<HostMessage>,
     pub(super) peers: ActorRef<PeersMessage>,
     pub(super) cancel: CancellationToken,
     pub(super) metrics: DaemonMetrics,
 }
 
-/// How a link came about.
-enum LinkOrigin {
-    Dialled,
-    /// The other host is known from its first frame; answers go to the queue.
-    Accepted(Sender<PeerMessage>),
+/// Whether the peers service knows which host is at the other end of a link.
+enum LinkRegistration {
+    Registered,
+    /// The link was accepted; its first frame names the host, and the service then
+    /// gets this queue for messages to it.
+    Pending(Sender<PeerMessage>),
 }
 
-/// A queue to another host; messages that do not fit are dropped, since every
-/// protocol between hosts repeats what matters.
+/// Send queue of a link to another host. Messages that do not fit are dropped, as
+/// every protocol between hosts repeats the messages that it depends on.
 #[derive(Debug)]
 pub(super) struct PeerLink {
     queue: Sender<PeerMessage>,
 }
 
 impl PeerLink {
-    /// Dials a host and serves the link until it breaks.
+    /// Dials a host in a new task, which serves the link until it ends and then sends
+    /// `PeersMessage::Closed`. Messages may be queued meanwhile.
     pub(super) fn dial(context: LinkContext, to: HostId, address: SocketAddr) -> Self {
-        let (queue, messages) = channel(LINK_QUEUE);
+        let (queue, messages) = channel(LINK_QUEUE_CAPACITY);
         let link = Self { queue };
         tokio::spawn(async move {
             match timeout(CONNECT_TIMEOUT, connect(address)).await {
-                Ok(Some(socket)) => serve(&context, socket, messages, LinkOrigin::Dialled).await,
-                _ => log::debug!(target: "peers", "Host {to} cannot be reached at {address}."),
+                Ok(Some(socket)) => {
+                    serve(&context, socket, messages, LinkRegistration::Registered).await
+                }
+                _ => {
+                    log::debug!(
+                        target: "peers",
+                        "Failed to connect to host {to} at {address}; queued messages are dropped."
+                    )
+                }
             }
             let _ = context.peers.send_message(PeersMessage::Closed(to));
         });
         link
     }
 
-    /// Serves a connection that another host opened.
+    /// Serves a connection that another host opened, in a new task.
     pub(super) fn accept(context: LinkContext, stream: TcpStream) {
         tokio::spawn(async move {
             let _ = stream.set_nodelay(true);
-            let accepted = accept_async_with_config(stream, Some(socket_config()));
+            let accepted = accept_async_with_config(stream, Some(websocket_config()));
             let Ok(Ok(socket)) = timeout(CONNECT_TIMEOUT, accepted).await else {
                 return;
             };
-            let (queue, messages) = channel(LINK_QUEUE);
-            serve(&context, socket, messages, LinkOrigin::Accepted(queue)).await;
+            let (queue, messages) = channel(LINK_QUEUE_CAPACITY);
+            serve(&context, socket, messages, LinkRegistration::Pending(queue)).await;
         });
     }
 
@@ -87,7 +97,7 @@
         Self { queue }
     }
 
-    /// Queues a message; false if the link is closed.
+    /// Queues a message, or drops it if the queue is full. False if the link is closed.
     pub(super) fn send(&self, message: PeerMessage) -> bool {
         !matches!(
             self.queue.try_send(message),
@@ -96,7 +106,7 @@
     }
 }
 
-fn socket_config() -> WebSocketConfig {
+fn websocket_config() -> WebSocketConfig {
     WebSocketConfig::default()
         .max_message_size(Some(MAX_FRAME_BYTES))
         .max_frame_size(Some(MAX_FRAME_BYTES))
@@ -106,7 +116,7 @@
     let stream = TcpStream::connect(address).await.ok()?;
     let _ = stream.set_nodelay(true);
     let url = format!("ws://{address}/peers");
-    let connected = client_async_with_config(url, stream, Some(socket_config())).await;
+    let connected = client_async_with_config(url, stream, Some(websocket_config())).await;
     connected.ok().map(|(socket, _)| socket)
 }
 
@@ -114,13 +124,13 @@
     context: &LinkContext,
     socket: Socket,
     messages: Receiver<PeerMessage>,
-    origin: LinkOrigin,
+    registration: LinkRegistration,
 ) {
     let (sink, stream) = socket.split();
     tokio::select! {
         () = context.cancel.cancelled() => {}
         () = write_frames(context, sink, messages) => {}
-        () = read_frames(context, stream, origin) => {}
+        () = read_frames(context, stream, registration) => {}
     }
 }
 
@@ -131,10 +141,13 @@
 ) {
     while let Some(message) = messages.recv().await {
         let kind = message.kind();
-        let bytes = match PeerFrame::new(context.me, message).encode() {
+        let bytes = match PeerFrame::new(context.host_id, message).encode() {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!(target: "peers", "A {kind} message cannot be sent: {error}.");
+                log::error!(
+                    target: "peers",
+                    "Failed to encode a {kind} message, which is dropped: {error}."
+                );
                 continue;
             }
         };
@@ -145,8 +158,12 @@
     }
 }
 
-async fn read_frames(context: &LinkContext, mut stream: SplitStream<Socket>, origin: LinkOrigin) {
-    let mut origin = origin;
+async fn read_frames(
+    context: &LinkContext,
+    mut stream: SplitStream<Socket>,
+    registration: LinkRegistration,
+) {
+    let mut registration = registration;
     while let Some(Ok(message)) = stream.next().await {
         let Message::Binary(bytes) = message else {
             continue;
@@ -154,14 +171,17 @@
         let frame = match PeerFrame::decode(&bytes) {
             Ok(frame) => frame,
             Err(error) => {
-                log::warn!(target: "peers", "A host sent an unreadable frame: {error}.");
+                log::warn!(
+                    target: "peers",
+                    "Failed to decode a frame of another host; the link is closed: {error}."
+                );
                 return;
             }
         };
-        if let LinkOrigin::Accepted(queue) = origin {
+        if let LinkRegistration::Pending(queue) = registration {
             let opened = PeersMessage::Opened(frame.from, queue);
             let _ = context.peers.send_message(opened);
-            origin = LinkOrigin::Dialled;
+            registration = LinkRegistration::Registered;
         }
         let kind = frame.message.kind();
         context.metrics.count_frame(kind, TrafficDirection::Received, bytes.len());
--- a/crates/daemon/src/pg_peers/peers_service.rs
+++ b/crates/daemon/src/pg_peers/peers_service.rs
@@ -8,44 +8,44 @@
 use super::peer_link::{LinkContext, PeerLink};
 use crate::{metrics::DaemonMetrics, pg_host::HostMessage};
 
-/// Requests to the peers service.
+/// Messages to the peers service.
 #[derive(Debug)]
 pub enum PeersMessage {
     /// Send a message to a host.
     Send {
-        /// The host.
+        /// The receiving host.
         to: HostId,
-        /// Where it listens, if known.
+        /// Address to dial if there is no open link; the message is dropped without it.
         address: Option<SocketAddr>,
-        /// The message.
+        /// The message; it is dropped if the link's queue is full.
         message: PeerMessage,
     },
-    /// A host opened a link; answers go to the queue.
+    /// A host opened a link; messages to it go to the queue.
     Opened(HostId, Sender<PeerMessage>),
-    /// A dialled link ended.
+    /// A link that this host dialled has ended.
     Closed(HostId),
 }
 
-/// Keeps links to other hosts.
+/// Keeps one link to every host that it exchanges messages with.
 #[derive(Debug)]
 pub struct PeersService;
 
-/// What the service needs at its start.
+/// Arguments with which the service starts.
 #[derive(Debug)]
 pub struct PeersArguments {
-    /// This host.
-    pub me: HostId,
-    /// Where frames go.
+    /// Number of this host.
+    pub host_id: HostId,
+    /// The host service, which gets the received messages.
     pub host: ActorRef<HostMessage>,
-    /// Accepts links of other hosts.
+    /// Listener for links of other hosts.
     pub listener: TcpListener,
-    /// Ends all links.
+    /// Ends all links and stops the listener.
     pub cancel: CancellationToken,
-    /// Counts frames.
+    /// Metrics of sent and received frames.
     pub metrics: DaemonMetrics,
 }
 
-/// What the service holds while it runs.
+/// State of the running service.
 pub struct PeersState {
     context: LinkContext,
     links: HashMap<HostId, PeerLink>,
@@ -61,8 +61,8 @@
         myself: ActorRef<PeersMessage>,
         arguments: PeersArguments,
     ) -> Result<PeersState, ActorProcessingErr> {
-        let PeersArguments { me, host, listener, cancel, metrics } = arguments;
-        let context = LinkContext { me, host, peers: myself, cancel, metrics };
+        let PeersArguments { host_id, host, listener, cancel, metrics } = arguments;
+        let context = LinkContext { host_id, host, peers: myself, cancel, metrics };
         tokio::spawn(accept_links(context.clone(), listener));
         Ok(PeersState { context, links: HashMap::new() })
     }
