--- a/crates/daemon/tests/debug_texts.rs
+++ b/crates/daemon/tests/debug_texts.rs
@@ -1,5 +1,6 @@
-//! Guards against changed Debug texts that are printed in logs or hashed into
-//! plan ids and the audit trail, where hosts of two releases must agree.
+//! Guards against a change of Debug texts that are printed in logs, or that are
+//! hashed into plan ids and the audit trail, on which hosts of two releases must
+//! agree. Renaming a type, a variant or a field changes them.
 
 use std::{fmt::Debug, sync::Arc, time::Duration};
 
@@ -38,7 +39,8 @@
 
 fn changes() -> Vec<PlannedChange> {
     let changes: Vec<PlannedChange> = decode(CHANGES);
-    // A new variant does not compile until it is added to the text above.
+    // This match does not compile with a new variant, which is to be added to `CHANGES`
+    // as well.
     for change in &changes {
         match change {
             PlannedChange::AddService(..)
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn planned_changes_for_people() {
+fn planned_changes_display() {
     let lines: Vec<String> = changes().iter().map(ToString::to_string).collect();
     insta::assert_snapshot!("planned_changes", lines.join("\n"));
 }
@@ -135,7 +137,7 @@
     let plan = Plan::new(control.version, changes());
     control.apply(2, &ControlCommand::PlanMade(plan.clone()));
     control.apply(3, &confirm("first", &plan.id));
-    // The base of the plan is no longer current.
+    // Refused: the first confirmation changed the version that the plan is based on.
     control.apply(4, &confirm("second", &plan.id));
     control.apply(5, &confirm("third", &Arc::from("no such plan")));
     insta::assert_snapshot!("audit_chain", audit_lines(&control.audit));
--- a/crates/daemon/tests/docs_match.rs
+++ b/crates/daemon/tests/docs_match.rs
@@ -1,4 +1,5 @@
-//! Tables in the documentation say what the code says, and samples are valid.
+//! Guards against tables in the documentation that differ from the code, and against
+//! sample settings that the daemon rejects.
 
 use std::path::{Path, PathBuf};
 
@@ -27,8 +28,8 @@
         .iter()
         .map(|code| {
             let (number, state, outcome) = (code.number(), code.sqlstate(), code.outcome());
-            let (text, mend) = (code.text(), code.remedy());
-            format!("| {number} | {code:?} | {state} | {outcome:?} | {text} | {mend} |")
+            let (text, remedy) = (code.text(), code.remedy());
+            format!("| {number} | {code:?} | {state} | {outcome:?} | {text} | {remedy} |")
         })
         .collect();
     assert_eq!(rows, expected);
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn bad_settings() {
+fn rejected_settings() {
     let sample = std::fs::read_to_string(root().join("settings/lone-star.yaml")).unwrap();
     for (from, to, expected) in [
         ("homes: 3", "homse: 3", "homse"),
--- a/crates/daemon/tests/help_texts.rs
+++ b/crates/daemon/tests/help_texts.rs
@@ -1,5 +1,5 @@
-//! Guards against a command, an option or a help text of `hawthornstackd` that
-//! changes or goes unnoticed.
+//! Guards against an unnoticed change of the commands, options and help texts of
+//! `hawthornstackd`.
 
 #[path = "../../cli/tests/help_pages/mod.rs"]
 mod help_pages;
--- a/crates/daemon/tests/operator_messages.rs
+++ b/crates/daemon/tests/operator_messages.rs
@@ -1,5 +1,5 @@
-//! Guards against changed JSON of the operators' interface, which the tool and
-//! programs of other people read and write.
+//! Guards against a change of the operators' JSON interface, which the command-line
+//! tool and third-party programs read and write.
 
 use std::fmt::Debug;
 
@@ -37,8 +37,8 @@
     "hosts": [{"host": 1, "peer_address": "127.0.0.1:7432", "data_centre": "north",
         "draining": true}]}"#;
 
-/// The JSON that is written for what was read, after a check that it is read
-/// alike.
+/// Decodes JSON and encodes the value again, after a check that the encoded JSON
+/// decodes to the same value.
 fn written_again<T>(json: &str) -> String
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
--- a/crates/daemon/tests/outer_texts.rs
+++ b/crates/daemon/tests/outer_texts.rs
@@ -1,5 +1,5 @@
-//! Guards against changed result codes, metric names and labels, and settings
-//! keys, which callers, dashboards and operators rely on.
+//! Guards against a change of result codes, metric names and labels, and settings
+//! keys, on which callers, dashboards and operators rely.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 use hawthornstack_decisions::outcomes::ResultCode;
 use opentelemetry::KeyValue;
 
-/// Settings with only what has no default; the host does not vote, so that it
+/// Settings of only the keys that have no default. The host is no voter and thus
 /// needs no data folder.
 const MINIMAL_SETTINGS: &str = "\
 host: { id: 9, data_centre: north }
@@ -19,7 +19,7 @@
 sessions: { secret: sixteen characters }
 ";
 
-/// Settings in which every key is given and none has its default.
+/// Settings with every key given and no value at its default.
 const FULL_SETTINGS: &str = "\
 host: { id: 1, data_centre: north }
 listen: { callers: 127.0.0.1:1, peers: 127.0.0.1:2, operators: 127.0.0.1:3 }
@@ -47,7 +47,7 @@
     format!("{number} | {code:?} | {sqlstate} | {outcome:?} | {} | {}", code.text(), code.remedy())
 }
 
-/// The page with each value replaced; names, texts and labels stay.
+/// Replaces each value of a metrics page by `_`; names, texts and labels stay.
 fn without_values(page: &str) -> String {
     page.lines().map(without_value).collect::<Vec<_>>().join("\n")
 }
@@ -82,13 +82,14 @@
     metrics.count_read(false);
     metrics.count_left_out("some kind", 3);
     for (name, _) in HOST_METRIC_NAMES {
-        // Counters and histograms are no gauges, and stay as they are.
+        // `set` ignores the names of counters and histograms.
         metrics.set(name, 1.0, &[KeyValue::new("some_label", "some value")]);
     }
     insta::assert_snapshot!("host_metrics", without_values(&metrics.page()));
 }
 
-/// The settings written as YAML, after a check that they are read alike.
+/// Parses settings and writes them as YAML, after a check that the YAML parses to the
+/// same settings.
 fn written_again(text: &str) -> String {
     let settings = DaemonSettings::parse(text).expect("settings");
     let written = serde_yaml_ng::to_string(&settings).expect("YAML");
