--- a/crates/daemon/src/pg_callers/keyed_request.rs
+++ b/crates/daemon/src/pg_callers/keyed_request.rs
@@ -130,7 +130,7 @@
 
     async fn run_once(&self, runner: &RequestRunner<'_>, state: &mut CallerState) -> RunOutcome {
         let arrival = runner.new_arrival(state, RequestKind::Write);
-        let mut handle = RequestHandle::arrive(&runner.context.host, arrival);
+        let mut handle = RequestHandle::submit(&runner.context.host, arrival);
         let mut held_answer = AnswerWriter::default();
         loop {
             match handle.next().await {
--- a/crates/daemon/src/pg_callers/request_runner.rs
+++ b/crates/daemon/src/pg_callers/request_runner.rs
@@ -213,7 +213,7 @@
     ) -> RunOutcome {
         let arrival = self.new_arrival(state, kind);
         let deadline = self.context.clock.instant(arrival.deadline);
-        let mut handle = RequestHandle::arrive(&self.context.host, arrival);
+        let mut handle = RequestHandle::submit(&self.context.host, arrival);
         let mut held_answer = AnswerWriter::default();
         loop {
             match handle.next().await {
@@ -264,7 +264,7 @@
     ) -> Result<OpenTransaction, ResultCode> {
         let kind = state.request_kind(!read_only);
         let arrival = RequestArrival { transaction: true, ..self.new_arrival(state, kind) };
-        let mut handle = RequestHandle::arrive(&self.context.host, arrival);
+        let mut handle = RequestHandle::submit(&self.context.host, arrival);
         loop {
             match handle.next().await {
                 RequestSignal::Conclude(request_result) => return Err(request_result.result),
