--- a/crates/lab/src/history/mod.rs
+++ b/crates/lab/src/history/mod.rs
@@ -1,7 +1,7 @@
-//! Recorded histories of concurrent runs, and what they prove.
+//! Histories of concurrent operations, and checks of their consistency.
 
 mod checker;
-mod recorded_event;
+mod recorded_operation;
 
 pub use checker::{FinalState, HistoryReport, check_history};
-pub use recorded_event::{OperationKind, OperationResult, RecordedOperation};
+pub use recorded_operation::{OperationKind, OperationResult, RecordedOperation};
--- a/crates/lab/src/history/recorded_event.rs
+++ b/crates/lab/src/history/recorded_operation.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What a caller did.
+/// An operation of a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperationKind {
     /// Adds the entry with this number to the session's own ledger.
@@ -10,55 +10,57 @@
         /// Number within the session, from 1.
         number: u64,
     },
-    /// Adds one to a shared counter that is not guarded by any key.
+    /// Adds one to a shared counter, without a unique key that would make a second
+    /// run fail.
     Increment,
     /// Claims an item for the session if nobody holds it.
     Claim {
-        /// The item.
+        /// Number of the item.
         item: u64,
     },
     /// Reads the session's highest ledger entry and a nonce.
     Read {
-        /// The age that the read accepts; `None` for a session read.
+        /// Maximum staleness that the read accepts; `None` for a read that must see
+        /// the session's own writes.
         max_age: Option<Duration>,
-        /// Value that must come back with the answer.
+        /// Value that the response must repeat.
         nonce: u64,
     },
 }
 
-/// What a caller was told.
+/// Result of an operation, as returned to the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperationResult {
-    /// A write ran.
+    /// An append or increment ran.
     Written,
-    /// A claim ran; it won the item or not.
+    /// A claim ran; true if the session won the item.
     Claimed(bool),
     /// A read ran.
     Found {
-        /// The highest entry, 0 if none.
+        /// Highest ledger entry of the session, 0 if none.
         number: u64,
-        /// The nonce in the answer.
+        /// Nonce in the response.
         nonce: u64,
     },
-    /// The request did not run.
+    /// The request was refused and did not run.
     DidNotRun,
-    /// The request may have run.
+    /// The request failed and may have run.
     Unknown,
 }
 
 /// One operation of a history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedOperation {
-    /// The session.
+    /// Number of the session.
     pub session: u32,
-    /// The group, by its place in the run.
+    /// Index of the group within the run.
     pub group: usize,
-    /// What was done.
+    /// The operation that was requested.
     pub kind: OperationKind,
-    /// When it was sent, from the start of the run.
+    /// Time of the request since the start of the run.
     pub sent_at: Duration,
-    /// When its answer came, from the start of the run.
+    /// Time of the response since the start of the run.
     pub answered_at: Duration,
-    /// What was answered.
+    /// Result that the caller got.
     pub result: OperationResult,
 }
--- a/crates/lab/tests/history_checker.rs
+++ b/crates/lab/tests/history_checker.rs
@@ -1,4 +1,5 @@
-//! The checker notices histories that are known to be bad.
+//! Checks that the history checker detects each kind of consistency violation and
+//! reports none for a consistent history.
 
 use std::time::Duration;
 
@@ -26,9 +27,9 @@
     operation(1, OperationKind::Append { number }, (0, 10), result)
 }
 
-fn read(sent_at: u64, number: u64, asked: u64, got: u64) -> RecordedOperation {
-    let kind = OperationKind::Read { max_age: None, nonce: asked };
-    let result = OperationResult::Found { number, nonce: got };
+fn read(sent_at: u64, number: u64, requested: u64, returned: u64) -> RecordedOperation {
+    let kind = OperationKind::Read { max_age: None, nonce: requested };
+    let result = OperationResult::Found { number, nonce: returned };
     operation(1, kind, (sent_at, sent_at + 5), result)
 }
 
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn good_history() {
+fn consistent_history() {
     let history = [
         append(1, OperationResult::Written),
         append(2, OperationResult::DidNotRun),
@@ -73,12 +74,12 @@
 }
 
 #[test]
-fn refused_but_ran() {
+fn refused_write_that_ran() {
     assert_eq!(check(&[append(1, OperationResult::DidNotRun)], entries(&[1])).doubled_writes, 1);
 }
 
 #[test]
-fn two_winners() {
+fn claim_with_two_winners() {
     let mut state = FinalState::default();
     state.claims.insert(4, 2);
     let report = check(&[claim(1, true), claim(2, true)], state);
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn counted_twice() {
+fn lost_and_doubled_increments() {
     let increment = |result| operation(1, OperationKind::Increment, (0, 10), result);
     let history = [increment(OperationResult::Written), increment(OperationResult::Unknown)];
     let counter = |counter| FinalState { counter, ..FinalState::default() };
