--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -238,7 +238,7 @@
             ..Deployment::named(command.deployment)
         },
         daemons,
-        control: command.control,
+        fault_address: command.control,
         seed: command.seed,
     };
     match run_standalone(&plan).await {
--- a/crates/lab/src/standalone/fault_routes.rs
+++ b/crates/lab/src/standalone/fault_routes.rs
@@ -11,23 +11,23 @@
 
 use crate::upstreams::{Fault, StandInDatabase};
 
-/// Sets the fault of one database.
+/// Body of `POST /faults`: the fault to set on one database.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultRequest {
-    /// The database.
+    /// Name of the database that gets the fault.
     pub database: DatabaseName,
     /// `none`, `stopped`, `frozen`, `cut_from_hosts`, `cut_from_group`,
     /// `isolated` or `slow`.
     pub fault: String,
-    /// For `slow`: what each statement takes longer, in milliseconds.
+    /// Milliseconds that `slow` adds to each statement; other faults ignore it.
     #[serde(default)]
     pub delay_ms: u64,
 }
 
-/// What a database reports on the fault port.
+/// State of a database, as listed by `GET /databases`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct DatabasePage {
+struct DatabaseEntry {
     database: DatabaseName,
     address: std::net::SocketAddr,
     role: String,
@@ -39,7 +39,8 @@
 type Databases = Arc<Vec<Arc<StandInDatabase>>>;
 
 impl FaultRequest {
-    fn fault(&self) -> Option<Fault> {
+    /// `None` if no fault has this name.
+    fn parse_fault(&self) -> Option<Fault> {
         Some(match self.fault.as_str() {
             "none" => Fault::None,
             "stopped" => Fault::Stopped,
@@ -53,18 +54,19 @@
     }
 }
 
-/// `GET /databases` lists them, `POST /faults` sets a fault.
+/// Routes of the fault port: `GET /databases` lists the databases with their
+/// faults, `POST /faults` sets the fault of one.
 pub fn fault_routes(databases: Vec<Arc<StandInDatabase>>) -> Router {
     Router::new()
-        .route("/databases", get(list))
-        .route("/faults", post(set))
+        .route("/databases", get(list_databases))
+        .route("/faults", post(set_fault))
         .with_state(Arc::new(databases))
 }
 
-async fn list(State(databases): State<Databases>) -> Json<Vec<DatabasePage>> {
-    let page = |database: &Arc<StandInDatabase>| {
+async fn list_databases(State(databases): State<Databases>) -> Json<Vec<DatabaseEntry>> {
+    let entry = |database: &Arc<StandInDatabase>| {
         let status = database.core().status();
-        DatabasePage {
+        DatabaseEntry {
             database: database.settings.database.clone(),
             address: database.address,
             role: format!("{:?}", status.role).to_lowercase(),
@@ -73,15 +75,15 @@
             fault: format!("{:?}", database.faults.current()),
         }
     };
-    Json(databases.iter().map(page).collect())
+    Json(databases.iter().map(entry).collect())
 }
 
-async fn set(
+async fn set_fault(
     State(databases): State<Databases>,
     Json(request): Json<FaultRequest>,
 ) -> (StatusCode, &'static str) {
     let database = databases.iter().find(|d| d.settings.database == request.database);
-    match (database, request.fault()) {
+    match (database, request.parse_fault()) {
         (Some(database), Some(fault)) => {
             database.faults.set(fault);
             (StatusCode::OK, "done\n")
--- a/crates/lab/src/standalone/mod.rs
+++ b/crates/lab/src/standalone/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in upstreams as a process of their own, with a port for faults.
+//! Stand-in upstreams in a separate process, with an HTTP port for fault
+//! injection.
 
 mod fault_routes;
 mod standalone_run;
--- a/crates/lab/src/standalone/standalone_run.rs
+++ b/crates/lab/src/standalone/standalone_run.rs
@@ -12,23 +12,24 @@
     upstreams::{StandInGroup, announce_forever},
 };
 
-/// What to run.
+/// Settings of a standalone run.
 #[derive(Debug, Clone)]
 pub struct StandalonePlan {
     /// Sizes and delays of the upstreams.
     pub deployment: Deployment,
-    /// Operators' addresses of daemons that take the announcements.
+    /// Operator addresses of the daemons that the databases announce themselves to.
     pub daemons: Vec<SocketAddr>,
-    /// Where faults are set.
-    pub control: SocketAddr,
-    /// Seed of lag and jitter.
+    /// Listening address of the fault port.
+    pub fault_address: SocketAddr,
+    /// Seed of the replication jitter.
     pub seed: u64,
 }
 
 /// Runs the deployment's upstreams until the process is ended.
 ///
 /// # Errors
-/// `ClusterError` if a port cannot be opened.
+/// `ClusterError` if the deployment is not valid, or if a port or an SQL engine
+/// cannot be opened.
 pub async fn run_standalone(plan: &StandalonePlan) -> Result<(), ClusterError> {
     let mut databases = Vec::new();
     for instance in 1..=plan.deployment.instances {
@@ -39,10 +40,10 @@
     }
     for database in &databases {
         eprintln!("{} listens on {}.", database.settings.database, database.address);
-        let stays = Arc::new(AtomicBool::new(false));
-        tokio::spawn(announce_forever(database.clone(), plan.daemons.clone(), stays));
+        let leaving = Arc::new(AtomicBool::new(false));
+        tokio::spawn(announce_forever(database.clone(), plan.daemons.clone(), leaving));
     }
-    let listener = tokio::net::TcpListener::bind(plan.control).await.context(SystemSnafu)?;
-    eprintln!("Faults are set on {}.", plan.control);
+    let listener = tokio::net::TcpListener::bind(plan.fault_address).await.context(SystemSnafu)?;
+    eprintln!("The fault port listens on {}.", plan.fault_address);
     axum::serve(listener, fault_routes(databases)).await.context(SystemSnafu)
 }
