--- a/crates/lab/src/faults/fault_run.rs
+++ b/crates/lab/src/faults/fault_run.rs
@@ -11,57 +11,57 @@
 use crate::{
     cluster::{ClusterError, ClusterPlan, LabCaller, LabCluster},
     deployments::Deployment,
-    upstreams::{Fault, StandInGroup, TakenOrder},
+    upstreams::{Fault, ReceivedOrder, StandInGroup},
 };
 
-/// Callers that write without pause.
+/// Number of concurrent writers.
 const WRITERS: usize = 6;
-/// Time between a writer's writes.
+/// Pause of a writer between two writes, and before it connects again.
 const WRITE_PAUSE: Duration = Duration::from_millis(2);
-/// Time before each fault.
-const QUIET_TIME: Duration = Duration::from_millis(700);
-/// Longest wait for a write after a fault.
-const GAP_LIMIT: Duration = Duration::from_secs(20);
+/// Time without faults before an injection and after the recovery.
+const SETTLE_TIME: Duration = Duration::from_millis(700);
+/// Time after a fault within which a new write must be acknowledged.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What to run.
+/// Settings of a fault run.
 #[derive(Debug, Clone)]
 pub struct FaultPlan {
     /// Sizes and delays of the upstreams.
     pub deployment: Deployment,
-    /// Rounds of each kind of fault.
+    /// Number of rounds; each injects every kind of fault once.
     pub rounds: u32,
-    /// Seed of the stand-ins.
+    /// Seed of the cluster.
     pub seed: u64,
 }
 
-/// What followed one fault. Times in milliseconds from the fault.
+/// Effects of one fault. Times are in milliseconds since its injection.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FaultRecord {
-    /// The fault.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// Its number within the kind.
+    /// Round, from 0.
     pub round: u32,
-    /// Term before it.
+    /// Primary's term before the fault.
     pub term_before: u64,
-    /// Term once writes ran again.
+    /// Primary's term after the recovery. A higher one means a failover.
     pub term_after: u64,
-    /// First write sent after the fault and acknowledged.
+    /// First acknowledgement of a write sent after the fault.
     pub gap_ms: f64,
-    /// First fence that a database took: the failure was detected and the
-    /// change committed.
+    /// First fence order that a database received: the failure was detected and the
+    /// change of primary committed.
     pub detected_ms: Option<f64>,
-    /// The promotion: homes were fenced and positions read.
+    /// First promote order: gateway hosts were fenced and positions read.
     pub promoted_ms: Option<f64>,
 }
 
-/// Distribution of the gaps of one kind, in milliseconds.
+/// Distribution of the write gaps after one kind of fault, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FaultSummary {
-    /// The fault.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// Rounds.
+    /// Number of records.
     pub rounds: usize,
-    /// Changes of primary.
+    /// Number of changes of primary.
     pub changes: usize,
     /// Shortest gap.
     pub min_ms: f64,
@@ -71,13 +71,12 @@
     pub p99_ms: f64,
     /// Longest gap.
     pub max_ms: f64,
-    /// Median time to the first fence.
+    /// Median time to the first fence order, where there was one.
     pub detected_ms: Option<f64>,
-    /// Median time to the promotion.
+    /// Median time to the first promote order, where there was one.
     pub promoted_ms: Option<f64>,
 }
 
-/// A write that was acknowledged.
 #[derive(Debug, Clone, Copy)]
 struct AcknowledgedWrite {
     sent_at: Instant,
@@ -86,13 +85,15 @@
 
 type SharedWrites = Arc<Mutex<Vec<AcknowledgedWrite>>>;
 
-/// Runs every kind of fault the stated number of times, one at a time.
+/// Injects every kind of fault `plan.rounds` times, one at a time, into the primary
+/// of a group under write load. Calls `on_record` after each fault.
 ///
 /// # Errors
-/// `ClusterError` if the cluster does not start, or writes never run again.
+/// `ClusterError` if the cluster does not start, or if it does not recover from a
+/// fault in time.
 pub async fn run_faults(
     plan: &FaultPlan,
-    mut report: impl FnMut(&FaultRecord),
+    mut on_record: impl FnMut(&FaultRecord),
 ) -> Result<Vec<FaultRecord>, ClusterError> {
     let deployment = Deployment { instances: 1, ..plan.deployment.clone() };
     let cluster_plan = ClusterPlan { deployment, daemons: 3, voters: 3, homes: 3, seed: plan.seed };
@@ -104,7 +105,7 @@
     for round in 0..plan.rounds {
         for kind in FaultKind::ALL {
             let record = run_fault(&cluster, &writes, kind, round).await?;
-            report(&record);
+            on_record(&record);
             records.push(record);
             cluster.wait_until_serving().await?;
         }
@@ -120,9 +121,10 @@
 ) -> Result<(), ClusterError> {
     let group = cluster.group_name(0);
     let daemons = cluster.caller_addresses();
-    let first = LabCaller::connect(daemons[0], &group, &[]).await;
-    let first = first.map_err(|failure| ClusterError::Request { text: failure.text })?;
-    let created = first.simple("CREATE TABLE marks (writer BIGINT, number BIGINT)").await;
+    let setup_caller = LabCaller::connect(daemons[0], &group, &[]).await;
+    let setup_caller =
+        setup_caller.map_err(|failure| ClusterError::Request { text: failure.text })?;
+    let created = setup_caller.simple("CREATE TABLE marks (writer BIGINT, number BIGINT)").await;
     created.map_err(|failure| ClusterError::Request { text: failure.text })?;
     for writer in 0..WRITERS {
         let daemon = daemons[writer % daemons.len()];
@@ -133,14 +135,14 @@
                     sleep(WRITE_PAUSE).await;
                     continue;
                 };
-                write_on(&caller, writer, &writes, &cancel).await;
+                run_writer(&caller, writer, &writes, &cancel).await;
             }
         });
     }
     Ok(())
 }
 
-async fn write_on(
+async fn run_writer(
     caller: &LabCaller,
     writer: usize,
     writes: &SharedWrites,
@@ -167,41 +169,43 @@
     kind: FaultKind,
     round: u32,
 ) -> Result<FaultRecord, ClusterError> {
-    sleep(QUIET_TIME).await;
+    sleep(SETTLE_TIME).await;
     let group = &cluster.groups[0];
-    let no_primary = || ClusterError::Late { what: "a primary".to_owned() };
+    let no_primary = || ClusterError::Late { what: "the election of a primary".to_owned() };
     let primary = group.primary().ok_or_else(no_primary)?;
     let term_before = primary.core().status().term;
     writes.lock().unwrap_or_else(PoisonError::into_inner).clear();
     let failed_at = Instant::now();
-    primary.faults.set(kind.fault());
-    let healed = tokio::spawn({
+    primary.faults.set(kind.injected_fault());
+    let recovery = tokio::spawn({
         let primary = primary.clone();
         async move {
-            sleep(kind.length()).await;
+            sleep(kind.duration()).await;
             primary.faults.set(Fault::None);
         }
     });
-    let answered_at = first_write_after(writes, failed_at).await?;
-    let _ = healed.await;
-    sleep(QUIET_TIME).await;
-    let since = |at: Instant| at.duration_since(failed_at).as_secs_f64() * 1_000.0;
+    let answered_at = wait_for_write_after(writes, failed_at).await?;
+    let _ = recovery.await;
+    sleep(SETTLE_TIME).await;
+    let millis_since_fault = |at: Instant| at.duration_since(failed_at).as_secs_f64() * 1_000.0;
     Ok(FaultRecord {
         kind,
         round,
         term_before,
         term_after: group.primary().ok_or_else(no_primary)?.core().status().term,
-        gap_ms: since(answered_at),
-        detected_ms: first_order(group, "hawthornstack_fence", failed_at).map(since),
-        promoted_ms: first_order(group, "hawthornstack_promote", failed_at).map(since),
+        gap_ms: millis_since_fault(answered_at),
+        detected_ms: find_first_order(group, "hawthornstack_fence", failed_at)
+            .map(millis_since_fault),
+        promoted_ms: find_first_order(group, "hawthornstack_promote", failed_at)
+            .map(millis_since_fault),
     })
 }
 
-async fn first_write_after(
+async fn wait_for_write_after(
     writes: &SharedWrites,
     failed_at: Instant,
 ) -> Result<Instant, ClusterError> {
-    while failed_at.elapsed() < GAP_LIMIT {
+    while failed_at.elapsed() < WRITE_TIMEOUT {
         let first = {
             let writes = writes.lock().unwrap_or_else(PoisonError::into_inner);
             let later = writes.iter().filter(|write| write.sent_at >= failed_at);
@@ -215,15 +219,15 @@
     Err(ClusterError::Late { what: "a write after the fault".to_owned() })
 }
 
-fn first_order(group: &StandInGroup, function: &str, after: Instant) -> Option<Instant> {
+fn find_first_order(group: &StandInGroup, function: &str, after: Instant) -> Option<Instant> {
     let orders = group.databases.iter().flat_map(|database| {
         database.orders.lock().unwrap_or_else(PoisonError::into_inner).clone()
     });
-    let fits = |order: &TakenOrder| order.function == function && order.at >= after;
-    orders.filter(fits).map(|order| order.at).min()
+    let matches = |order: &ReceivedOrder| order.function == function && order.received_at >= after;
+    orders.filter(matches).map(|order| order.received_at).min()
 }
 
-/// Distributions of the gaps, a line for each kind.
+/// Summarizes the records of each kind of fault that occurred.
 pub fn summarize(records: &[FaultRecord]) -> Vec<FaultSummary> {
     FaultKind::ALL
         .into_iter()
@@ -234,9 +238,9 @@
 }
 
 fn summarize_kind(records: Vec<&FaultRecord>, kind: FaultKind) -> Option<FaultSummary> {
-    let gaps = sorted(records.iter().map(|record| record.gap_ms));
-    let detected = sorted(records.iter().filter_map(|record| record.detected_ms));
-    let promoted = sorted(records.iter().filter_map(|record| record.promoted_ms));
+    let gaps = sort_values(records.iter().map(|record| record.gap_ms));
+    let detected = sort_values(records.iter().filter_map(|record| record.detected_ms));
+    let promoted = sort_values(records.iter().filter_map(|record| record.promoted_ms));
     Some(FaultSummary {
         kind,
         rounds: records.len(),
@@ -250,13 +254,13 @@
     })
 }
 
-fn sorted(values: impl Iterator<Item = f64>) -> Vec<f64> {
+fn sort_values(values: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
     values
 }
 
-fn quantile(sorted: &[f64], share: f64) -> Option<f64> {
+fn quantile(sorted: &[f64], fraction: f64) -> Option<f64> {
     let last = sorted.len().checked_sub(1)?;
-    sorted.get((last as f64 * share).round() as usize).copied()
+    sorted.get((last as f64 * fraction).round() as usize).copied()
 }
--- a/crates/lab/src/faults/mod.rs
+++ b/crates/lab/src/faults/mod.rs
@@ -1,4 +1,5 @@
-//! Faults against real daemons, and the gap in writes that each leaves.
+//! Injects faults into primaries of a running cluster and measures for how long
+//! writes are interrupted.
 
 mod fault_kind;
 mod fault_run;
--- a/crates/lab/src/upstreams/database_core.rs
+++ b/crates/lab/src/upstreams/database_core.rs
@@ -13,14 +13,15 @@
 pub struct LogRecord {
     /// Term of the primary that wrote it.
     pub term: u64,
-    /// Its statements in order.
+    /// Write statements in order; empty for the record that starts a promotion's
+    /// term.
     pub statements: Vec<LoggedStatement>,
-    /// When it was committed at that primary.
+    /// Time of the commit at that primary.
     pub committed_at: Instant,
 }
 
 /// Data, log and role of one database. Committed data and the open write
-/// transaction live in two engines, so that readers never see the latter.
+/// transaction live in two engines, so that readers never see uncommitted data.
 #[derive(Debug)]
 pub struct DatabaseCore {
     role: DatabaseRole,
@@ -33,10 +34,10 @@
 }
 
 impl DatabaseCore {
-    /// An empty database in term 1.
+    /// Creates an empty database in term 1.
     ///
     /// # Errors
-    /// `EngineError` if no engine can be opened.
+    /// `EngineError` if an engine cannot be opened.
     pub fn new(role: DatabaseRole) -> Result<Self, EngineError> {
         Ok(Self {
             role,
@@ -49,7 +50,7 @@
         })
     }
 
-    /// What it reports.
+    /// Role, term, fence and position, as reported to hosts.
     pub fn status(&self) -> DatabaseStatus {
         DatabaseStatus {
             role: self.role,
@@ -60,17 +61,17 @@
         }
     }
 
-    /// End of its log.
+    /// Position of the end of the log.
     pub fn position(&self) -> LogPosition {
         self.history.position_at(self.log.len() as u64)
     }
 
-    /// True if it is a primary whose term is not fenced.
+    /// True if the database is a primary whose term is not fenced.
     pub fn accepts_writes(&self) -> bool {
         self.role == DatabaseRole::Primary && self.term >= self.fenced_below
     }
 
-    /// Its role.
+    /// Current role. A fenced primary keeps its role.
     pub fn role(&self) -> DatabaseRole {
         self.role
     }
@@ -80,22 +81,23 @@
         &self.committed
     }
 
-    /// The engine with the open write transaction.
+    /// The engine with the open write transaction, if there is one, on top of the
+    /// committed data.
     pub fn working(&self) -> &SqlEngine {
         &self.working
     }
 
-    /// Ends the open write transaction and appends it to the log.
+    /// Commits the open write transaction and appends its statements to the log.
     ///
     /// # Errors
     /// `EngineError` 25006 if writes are no longer accepted; the transaction
     /// is rolled back.
     pub fn commit(&mut self, statements: Vec<LoggedStatement>) -> Result<(), EngineError> {
         if !self.accepts_writes() && !statements.is_empty() {
-            self.working.control("ROLLBACK")?;
-            return Err(read_only());
+            self.working.run_transaction_control("ROLLBACK")?;
+            return Err(read_only_error());
         }
-        self.working.control("COMMIT")?;
+        self.working.run_transaction_control("COMMIT")?;
         if statements.is_empty() {
             return Ok(());
         }
@@ -107,57 +109,60 @@
         Ok(())
     }
 
-    /// Runs one write as a transaction of its own.
+    /// Runs one write statement in its own transaction.
     ///
     /// # Errors
-    /// `EngineError`; nothing of the write remains.
-    pub fn write(&mut self, statement: LoggedStatement) -> Result<EngineRows, EngineError> {
+    /// `EngineError` 25006 if writes are not accepted, otherwise the error of the
+    /// statement, whose transaction is rolled back.
+    pub fn run_write(&mut self, statement: LoggedStatement) -> Result<EngineRows, EngineError> {
         if !self.accepts_writes() {
-            return Err(read_only());
+            return Err(read_only_error());
         }
-        self.working.control("BEGIN")?;
+        self.working.run_transaction_control("BEGIN")?;
         match self.working.run(&statement) {
             Ok(rows) => self.commit(vec![statement]).map(|()| rows),
             Err(error) => {
-                self.working.control("ROLLBACK")?;
+                self.working.run_transaction_control("ROLLBACK")?;
                 Err(error)
             }
         }
     }
 
-    /// Refuses terms below `term` from now on.
+    /// Rejects writes, records and orders of terms below `term` from now on. Fences
+    /// below an earlier one have no effect.
     pub fn fence(&mut self, term: u64) {
         self.fenced_below = self.fenced_below.max(term);
     }
 
-    /// Becomes primary of `term`.
+    /// Makes the database the primary of `term`.
     ///
     /// # Errors
-    /// `EngineError` 55000 if a later term is known.
+    /// `EngineError` 55000 if `term` is fenced or not newer than the current term.
     pub fn promote(&mut self, term: u64) -> Result<(), EngineError> {
         if self.role == DatabaseRole::Primary && self.term == term {
             return Ok(());
         }
         if term <= self.term || term < self.fenced_below {
-            return Err(EngineError { sqlstate: "55000", text: format!("term {term} is over") });
+            return Err(EngineError { sqlstate: "55000", text: format!("term {term} is stale") });
         }
         self.role = DatabaseRole::Primary;
         self.term = term;
         self.fenced_below = term;
         self.history.fork(term, self.log.len() as u64);
-        // The first entry of the term, so that the term can be held by a
-        // majority before any caller writes.
+        // Starts the term with an empty record, so that a majority of the databases
+        // can hold a record of the term before any caller writes.
         let committed_at = Instant::now();
         self.log.push(Arc::new(LogRecord { term, statements: Vec::new(), committed_at }));
         Ok(())
     }
 
-    /// Follows a primary with this log and history: drops what is not on its
-    /// branch and becomes a replica of its term.
+    /// Makes the database a replica, in `term`, of the primary with this log and
+    /// history. Removes log records that the primary does not have and rebuilds the
+    /// data without them.
     ///
     /// # Errors
-    /// `EngineError` 55000 if a later term is known; engine errors of the
-    /// replay.
+    /// `EngineError` 55000 if `term` is fenced or older than the current term;
+    /// engine errors of the replay.
     pub fn follow(
         &mut self,
         term: u64,
@@ -165,12 +170,12 @@
         history: BranchHistory,
     ) -> Result<(), EngineError> {
         if term < self.term || term < self.fenced_below {
-            return Err(EngineError { sqlstate: "55000", text: format!("term {term} is over") });
+            return Err(EngineError { sqlstate: "55000", text: format!("term {term} is stale") });
         }
         let shared = self.log.iter().zip(log).take_while(|(a, b)| Arc::ptr_eq(a, b)).count();
         if shared < self.log.len() {
             self.log.truncate(shared);
-            self.rebuild()?;
+            self.rebuild_engines()?;
         }
         self.role = DatabaseRole::Replica;
         self.term = term;
@@ -179,7 +184,8 @@
         Ok(())
     }
 
-    fn rebuild(&mut self) -> Result<(), EngineError> {
+    /// Replays the log into empty engines.
+    fn rebuild_engines(&mut self) -> Result<(), EngineError> {
         self.committed = SqlEngine::open()?;
         self.working = SqlEngine::open()?;
         for record in &self.log {
@@ -191,7 +197,7 @@
         Ok(())
     }
 
-    /// Applies the next record of the primary's log.
+    /// Applies the next record of the primary's log and appends it to this log.
     ///
     /// # Errors
     /// Engine errors of the replay.
@@ -204,28 +210,29 @@
         Ok(())
     }
 
-    /// True if it takes log records of a primary of `term`.
-    pub fn takes_records_of(&self, term: u64) -> bool {
+    /// True if the database is a replica that accepts log records from a primary
+    /// of `term`.
+    pub fn accepts_records_of(&self, term: u64) -> bool {
         self.role == DatabaseRole::Replica && term == self.term && term >= self.fenced_below
     }
 
-    /// The record after the first `count`.
-    pub fn record(&self, count: usize) -> Option<Arc<LogRecord>> {
-        self.log.get(count).cloned()
+    /// The log record at `index`, from 0; `None` past the end of the log.
+    pub fn record(&self, index: usize) -> Option<Arc<LogRecord>> {
+        self.log.get(index).cloned()
     }
 
-    /// Records after the first `count`.
+    /// Log records after the first `count`.
     pub fn records_after(&self, count: usize) -> Vec<Arc<LogRecord>> {
         self.log.iter().skip(count).cloned().collect()
     }
 
-    /// Length of the log.
+    /// Number of records in the log.
     pub fn log_length(&self) -> usize {
         self.log.len()
     }
 }
 
-/// The error of a database that does not accept writes.
-pub(super) fn read_only() -> EngineError {
+/// Error 25006 for a write at a replica or a fenced primary.
+pub(super) fn read_only_error() -> EngineError {
     EngineError { sqlstate: "25006", text: "this database does not accept writes".to_owned() }
 }
--- a/crates/lab/src/upstreams/fault_switch.rs
+++ b/crates/lab/src/upstreams/fault_switch.rs
@@ -2,27 +2,27 @@
 
 use tokio::sync::watch;
 
-/// What is wrong with a database.
+/// An injected fault of a database.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// Nothing.
+    /// The database works normally.
     #[default]
     None,
-    /// The process is gone: connections break, new ones are refused.
+    /// The process has ended: open connections are closed, new ones are refused.
     Stopped,
-    /// The process does nothing until it is thawed.
+    /// The process is suspended until the fault is cleared.
     Frozen,
-    /// Hosts of the system get no answers; replication goes on.
+    /// Hosts get no responses; replication continues.
     CutFromHosts,
-    /// Replicas get no records; hosts are served.
+    /// Log records flow neither to nor from the database; hosts are served.
     CutFromGroup,
-    /// Cut from hosts and from the group.
+    /// Network partition from both hosts and the group.
     Isolated,
-    /// Every statement takes this much longer.
+    /// Every statement takes longer by this time.
     Slow(Duration),
 }
 
-/// Sets and watches the fault of one database.
+/// The current fault of one database. Tasks of the database wait for changes.
 #[derive(Debug)]
 pub struct FaultSwitch {
     fault: watch::Sender<Fault>,
@@ -35,30 +35,30 @@
 }
 
 impl FaultSwitch {
-    /// Changes the fault.
+    /// Replaces the current fault; tasks that wait for a change are woken.
     pub fn set(&self, fault: Fault) {
         self.fault.send_replace(fault);
     }
 
-    /// The fault now.
+    /// The fault that is in effect now.
     pub fn current(&self) -> Fault {
         *self.fault.borrow()
     }
 
-    /// Waits until hosts are answered.
-    pub async fn answering(&self) {
-        let silent =
+    /// Waits until the database responds to hosts; returns at once if it does.
+    pub async fn wait_until_answering(&self) {
+        let unresponsive =
             |fault: &Fault| matches!(fault, Fault::Frozen | Fault::CutFromHosts | Fault::Isolated);
-        let _ = self.fault.subscribe().wait_for(|fault| !silent(fault)).await;
+        let _ = self.fault.subscribe().wait_for(|fault| !unresponsive(fault)).await;
     }
 
-    /// Waits until the process is stopped.
-    pub async fn stopped(&self) {
+    /// Waits until the process is stopped; returns at once if it is.
+    pub async fn wait_until_stopped(&self) {
         let _ = self.fault.subscribe().wait_for(|fault| *fault == Fault::Stopped).await;
     }
 
-    /// Waits until the process is not stopped.
-    pub async fn started(&self) {
+    /// Waits until the process is not stopped; returns at once if it is not.
+    pub async fn wait_until_started(&self) {
         let _ = self.fault.subscribe().wait_for(|fault| *fault != Fault::Stopped).await;
     }
 
@@ -67,8 +67,9 @@
         matches!(self.current(), Fault::None | Fault::CutFromHosts | Fault::Slow(_))
     }
 
-    /// Extra time of a statement.
-    pub fn delay(&self) -> Duration {
+    /// Time added to the execution of every statement; zero unless the database
+    /// is slow.
+    pub fn statement_delay(&self) -> Duration {
         match self.current() {
             Fault::Slow(delay) => delay,
             _ => Duration::ZERO,
--- a/crates/lab/src/upstreams/mod.rs
+++ b/crates/lab/src/upstreams/mod.rs
@@ -1,4 +1,5 @@
-//! A stand-in for a group of databases that replicates asynchronously.
+//! Stand-in upstreams: simulated PostgreSQL databases that replicate
+//! asynchronously within a group.
 
 mod announcer;
 mod database_core;
@@ -16,5 +17,5 @@
 pub use fault_switch::{Fault, FaultSwitch};
 pub use port_pool::free_address;
 pub use sql_engine::{EngineError, EngineRows, LoggedStatement, SqlEngine};
-pub use stand_in_database::{DatabaseCounters, StandInDatabase, StandInSettings, TakenOrder};
+pub use stand_in_database::{DatabaseCounters, ReceivedOrder, StandInDatabase, StandInSettings};
 pub use stand_in_group::StandInGroup;
--- a/crates/lab/src/upstreams/pg_session.rs
+++ b/crates/lab/src/upstreams/pg_session.rs
@@ -26,38 +26,44 @@
 
 use super::{
     EngineError, EngineRows, LoggedStatement, StandInDatabase, StandInGroup,
-    database_core::read_only,
-    pg_values::{column_type, decode_value, describe_row, encode_row, format_at},
-    sql_text::{SqlCommand, parameter_types, read_command, split_statements},
+    database_core::read_only_error,
+    pg_values::{decode_value, describe_row, encode_row, format_code, infer_column_type},
+    sql_text::{SqlCommand, parameter_types, parse_command, split_statements},
 };
 
-/// Group name under which the system's own control connects.
+/// Database name in the startup message of connections that control opens;
+/// connections for callers' statements name a group.
 const CONTROL_DATABASE: &str = "hawthornstack";
 
-/// The open write transaction of a session.
+/// A transaction at a primary that has run a statement.
 struct WriteTransaction {
+    /// Excludes other writers until the transaction ends.
     _writer: OwnedMutexGuard<()>,
+    /// Write statements so far, logged at the commit.
     statements: Vec<LoggedStatement>,
 }
 
-/// Where a session stands with transactions.
+/// Transaction state of a session.
 enum SessionTransaction {
     Idle,
-    /// `BEGIN` was run; the writer's place is taken at the first statement.
+    /// `BEGIN` was run. At a primary, the first statement locks the writer.
     Begun,
     Writing(WriteTransaction),
+    /// A statement failed; only `COMMIT` and `ROLLBACK` are accepted.
     Failed,
 }
 
 #[derive(Clone)]
-struct StoredStatement {
+struct PreparedStatement {
     sql: String,
+    /// Type OIDs of the parameters.
     types: Vec<u32>,
 }
 
-struct StoredPortal {
+struct Portal {
     sql: String,
     parameters: Vec<Value>,
+    /// Format codes of the result columns.
     formats: Vec<i16>,
 }
 
@@ -66,18 +72,20 @@
     database: Arc<StandInDatabase>,
     group: Arc<StandInGroup>,
     stream: TcpStream,
-    read: BytesMut,
-    write: BytesMut,
+    input: BytesMut,
+    output: BytesMut,
     context: DecodeContext,
     transaction: SessionTransaction,
-    statements: HashMap<String, StoredStatement>,
-    portals: HashMap<String, StoredPortal>,
-    /// After an error in a batch, messages are skipped up to `Sync`.
-    skipping: bool,
+    statements: HashMap<String, PreparedStatement>,
+    portals: HashMap<String, Portal>,
+    /// True after an error in an extended-query batch: messages are discarded until
+    /// `Sync`.
+    discarding: bool,
 }
 
 impl PgSession {
-    /// Serves one connection until it ends or the database stops.
+    /// Serves one connection until the client closes it or the database is stopped.
+    /// An open transaction is rolled back.
     pub(super) async fn serve(
         database: Arc<StandInDatabase>,
         group: Arc<StandInGroup>,
@@ -88,99 +96,100 @@
             database: database.clone(),
             group,
             stream,
-            read: BytesMut::new(),
-            write: BytesMut::new(),
+            input: BytesMut::new(),
+            output: BytesMut::new(),
             context: DecodeContext::new(ProtocolVersion::PROTOCOL3_0),
             transaction: SessionTransaction::Idle,
             statements: HashMap::new(),
             portals: HashMap::new(),
-            skipping: false,
+            discarding: false,
         };
         let counters = &database.counters;
         let open = counters.open.fetch_add(1, Ordering::Relaxed) + 1;
-        counters.most_open.fetch_max(open, Ordering::Relaxed);
+        counters.peak_open.fetch_max(open, Ordering::Relaxed);
         tokio::select! {
-            () = database.faults.stopped() => {}
-            _ = session.converse(open) => {}
+            () = database.faults.wait_until_stopped() => {}
+            _ = session.handle_messages(open) => {}
         }
         if let SessionTransaction::Writing(_) = session.transaction {
-            let _ = database.core().working().control("ROLLBACK");
+            let _ = database.core().working().run_transaction_control("ROLLBACK");
         }
         counters.open.fetch_sub(1, Ordering::Relaxed);
     }
 
-    fn put(&mut self, message: &impl Message) {
-        // Messages of the stand-in are small and well-formed.
-        let _ = message.encode(&mut self.write);
+    fn write_message(&mut self, message: &impl Message) {
+        // Encoding cannot fail: messages of the stand-in are small and well-formed.
+        let _ = message.encode(&mut self.output);
     }
 
-    async fn next(&mut self) -> Option<PgWireFrontendMessage> {
+    async fn read_message(&mut self) -> Option<PgWireFrontendMessage> {
         loop {
-            match PgWireFrontendMessage::decode(&mut self.read, &self.context) {
+            match PgWireFrontendMessage::decode(&mut self.input, &self.context) {
                 Ok(Some(message)) => return Some(message),
                 Ok(None) => {}
                 Err(_) => return None,
             }
-            if self.stream.read_buf(&mut self.read).await.ok()? == 0 {
+            if self.stream.read_buf(&mut self.input).await.ok()? == 0 {
                 return None;
             }
         }
     }
 
     async fn flush(&mut self) -> Option<()> {
-        self.database.faults.answering().await;
-        self.stream.write_all(&self.write).await.ok()?;
-        self.write.clear();
+        self.database.faults.wait_until_answering().await;
+        self.stream.write_all(&self.output).await.ok()?;
+        self.output.clear();
         Some(())
     }
 
-    async fn converse(&mut self, open: u32) -> Option<()> {
-        let control = self.start(open).await?;
-        if !control {
+    async fn handle_messages(&mut self, open: u32) -> Option<()> {
+        let is_control = self.read_startup(open).await?;
+        if !is_control {
             sleep(self.database.settings.connection_cost).await;
         }
-        self.put(&Authentication::Ok);
-        self.put(&BackendKeyData::new(1, SecretKey::I32(1)));
-        self.ready();
+        self.write_message(&Authentication::Ok);
+        self.write_message(&BackendKeyData::new(1, SecretKey::I32(1)));
+        self.write_ready_for_query();
         self.flush().await?;
         loop {
-            let message = self.next().await?;
-            self.database.faults.answering().await;
+            let message = self.read_message().await?;
+            self.database.faults.wait_until_answering().await;
             match message {
                 PgWireFrontendMessage::Query(query) => {
-                    self.simple_query(&query.query).await;
-                    self.ready();
+                    self.run_simple_query(&query.query).await;
+                    self.write_ready_for_query();
                     self.flush().await?;
                 }
                 PgWireFrontendMessage::Sync(_) => {
-                    self.skipping = false;
+                    self.discarding = false;
                     if !self.in_transaction() {
                         self.portals.clear();
                     }
-                    self.ready();
+                    self.write_ready_for_query();
                     self.flush().await?;
                 }
                 PgWireFrontendMessage::Terminate(_) => return None,
-                _ if self.skipping => {}
+                _ if self.discarding => {}
                 message => {
-                    if let Err(error) = self.extended(message).await {
-                        self.error(&error);
-                        self.skipping = true;
+                    if let Err(error) = self.handle_extended(message).await {
+                        self.write_error(&error);
+                        self.discarding = true;
                     }
                 }
             }
         }
     }
 
-    /// Reads the start-up; true for control's own connections.
-    async fn start(&mut self, open: u32) -> Option<bool> {
+    /// Handles the startup phase and the connection limit; `open` is the number of
+    /// open connections with this one. Returns true for a connection of control.
+    async fn read_startup(&mut self, open: u32) -> Option<bool> {
         loop {
-            match self.next().await? {
+            match self.read_message().await? {
                 PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::None) => {
                     self.context.awaiting_frontend_ssl = false;
                 }
                 PgWireFrontendMessage::SslNegotiation(_) => {
-                    self.write.extend_from_slice(b"N");
+                    self.output.extend_from_slice(b"N");
                     self.flush().await?;
                 }
                 PgWireFrontendMessage::Startup(startup) => {
@@ -190,7 +199,7 @@
                     if open > self.database.settings.connections {
                         counters.refused.fetch_add(1, Ordering::Relaxed);
                         let text = "too many connections".to_owned();
-                        self.error(&EngineError { sqlstate: "53300", text });
+                        self.write_error(&EngineError { sqlstate: "53300", text });
                         self.flush().await?;
                         return None;
                     }
@@ -207,7 +216,7 @@
         !matches!(self.transaction, SessionTransaction::Idle)
     }
 
-    fn ready(&mut self) {
+    fn write_ready_for_query(&mut self) {
         let status = match self.transaction {
             SessionTransaction::Idle => TransactionStatus::Idle,
             SessionTransaction::Begun | SessionTransaction::Writing(_) => {
@@ -215,82 +224,85 @@
             }
             SessionTransaction::Failed => TransactionStatus::Error,
         };
-        self.put(&ReadyForQuery::new(status));
+        self.write_message(&ReadyForQuery::new(status));
     }
 
-    /// Writes an error; an open transaction fails with it.
-    fn error(&mut self, error: &EngineError) {
+    /// Writes an `ErrorResponse`. An open transaction is rolled back and marked as
+    /// failed.
+    fn write_error(&mut self, error: &EngineError) {
         let fields = vec![
             (b'S', "ERROR".to_owned()),
             (b'V', "ERROR".to_owned()),
             (b'C', error.sqlstate.to_owned()),
             (b'M', error.text.clone()),
         ];
-        self.put(&ErrorResponse::new(fields));
+        self.write_message(&ErrorResponse::new(fields));
         if self.in_transaction() {
             self.roll_back(SessionTransaction::Failed);
         }
     }
 
-    fn roll_back(&mut self, next: SessionTransaction) {
+    fn roll_back(&mut self, next_state: SessionTransaction) {
         if let SessionTransaction::Writing(_) = self.transaction {
-            let _ = self.database.core().working().control("ROLLBACK");
+            let _ = self.database.core().working().run_transaction_control("ROLLBACK");
         }
-        self.transaction = next;
+        self.transaction = next_state;
     }
 
-    async fn simple_query(&mut self, sql: &str) {
+    async fn run_simple_query(&mut self, sql: &str) {
         let statements = split_statements(sql);
         if statements.is_empty() {
-            return self.put(&EmptyQueryResponse::new());
+            return self.write_message(&EmptyQueryResponse::new());
         }
-        let many = statements.len() > 1 && !self.in_transaction();
-        if many {
+        let implicit_transaction = statements.len() > 1 && !self.in_transaction();
+        if implicit_transaction {
             self.transaction = SessionTransaction::Begun;
         }
         for statement in statements {
-            if let Err(error) = self.simple_statement(statement).await {
-                self.error(&error);
-                if many {
+            if let Err(error) = self.run_simple_statement(statement).await {
+                self.write_error(&error);
+                if implicit_transaction {
                     self.transaction = SessionTransaction::Idle;
                 }
                 return;
             }
         }
-        if many && let Err(error) = self.commit() {
+        if implicit_transaction && let Err(error) = self.commit() {
             self.transaction = SessionTransaction::Idle;
-            self.error(&error);
+            self.write_error(&error);
         }
     }
 
-    async fn simple_statement(&mut self, sql: &str) -> Result<(), EngineError> {
+    async fn run_simple_statement(&mut self, sql: &str) -> Result<(), EngineError> {
         let (rows, tag) = self.execute(sql, Vec::new()).await?;
-        let columns = match read_command(sql) {
+        let columns = match parse_command(sql) {
             SqlCommand::Engine(text) => self.database.core().committed().describe(&text)?,
             _ => rows.columns.iter().map(|name| (name.clone(), None)).collect(),
         };
         if !columns.is_empty() {
-            self.put(&describe_row(&columns, &[]));
-            self.put_rows(&rows, &columns, &[]);
+            self.write_message(&describe_row(&columns, &[]));
+            self.write_rows(&rows, &columns, &[]);
         }
-        self.put(&CommandComplete::new(tag));
+        self.write_message(&CommandComplete::new(tag));
         Ok(())
     }
 
-    fn put_rows(
+    fn write_rows(
         &mut self,
         rows: &EngineRows,
         columns: &[(String, Option<String>)],
         formats: &[i16],
     ) {
-        let types: Vec<u32> =
-            columns.iter().map(|(name, declared)| column_type(name, declared.as_deref())).collect();
+        let types: Vec<u32> = columns
+            .iter()
+            .map(|(name, declared)| infer_column_type(name, declared.as_deref()))
+            .collect();
         for row in &rows.rows {
-            self.put(&encode_row(row, &types, formats));
+            self.write_message(&encode_row(row, &types, formats));
         }
     }
 
-    async fn extended(&mut self, message: PgWireFrontendMessage) -> Result<(), EngineError> {
+    async fn handle_extended(&mut self, message: PgWireFrontendMessage) -> Result<(), EngineError> {
         match message {
             PgWireFrontendMessage::Parse(parse) => self.parse(parse),
             PgWireFrontendMessage::Bind(bind) => self.bind(&bind),
@@ -302,65 +314,68 @@
                     b'S' => drop(self.statements.remove(&name)),
                     _ => drop(self.portals.remove(&name)),
                 }
-                self.put(&CloseComplete::new());
+                self.write_message(&CloseComplete::new());
                 Ok(())
             }
-            _ => Err(EngineError { sqlstate: "0A000", text: "not supported".to_owned() }),
+            _ => Err(EngineError {
+                sqlstate: "0A000",
+                text: "this message is not supported".to_owned(),
+            }),
         }
     }
 
     fn parse(&mut self, parse: Parse) -> Result<(), EngineError> {
         let name = parse.name.unwrap_or_default();
         if !name.is_empty() && self.statements.contains_key(&name) {
-            let text = format!("statement {name} exists");
+            let text = format!("prepared statement \"{name}\" already exists");
             return Err(EngineError { sqlstate: "42P05", text });
         }
-        if let SqlCommand::Engine(text) = read_command(&parse.query) {
+        if let SqlCommand::Engine(text) = parse_command(&parse.query) {
             self.database.core().committed().describe(&text)?;
         }
         let types = parameter_types(&parse.query, &parse.type_oids);
-        self.statements.insert(name, StoredStatement { sql: parse.query, types });
-        self.put(&ParseComplete::new());
+        self.statements.insert(name, PreparedStatement { sql: parse.query, types });
+        self.write_message(&ParseComplete::new());
         Ok(())
     }
 
-    fn stored(&self, name: Option<&String>) -> Result<StoredStatement, EngineError> {
+    fn find_statement(&self, name: Option<&String>) -> Result<PreparedStatement, EngineError> {
         let name = name.map(String::as_str).unwrap_or_default();
-        let stored = self.statements.get(name).cloned();
-        stored.ok_or_else(|| EngineError {
+        let statement = self.statements.get(name).cloned();
+        statement.ok_or_else(|| EngineError {
             sqlstate: "26000",
-            text: format!("statement {name} does not exist"),
+            text: format!("prepared statement \"{name}\" does not exist"),
         })
     }
 
     fn bind(&mut self, bind: &Bind) -> Result<(), EngineError> {
-        let stored = self.stored(bind.statement_name.as_ref())?;
+        let statement = self.find_statement(bind.statement_name.as_ref())?;
         let formats = &bind.parameter_format_codes;
         let parameters: Option<Vec<Value>> = bind
             .parameters
             .iter()
             .enumerate()
             .map(|(index, bytes)| {
-                let oid = stored.types.get(index).copied().unwrap_or(25);
-                decode_value(bytes.as_ref(), oid, format_at(formats, index))
+                let oid = statement.types.get(index).copied().unwrap_or(25);
+                decode_value(bytes.as_ref(), oid, format_code(formats, index))
             })
             .collect();
         let parameters = parameters.ok_or_else(|| EngineError {
             sqlstate: "22P03",
-            text: "a parameter does not fit its type".to_owned(),
+            text: "the value of a parameter does not match its type".to_owned(),
         })?;
-        let portal = StoredPortal {
-            sql: stored.sql,
+        let portal = Portal {
+            sql: statement.sql,
             parameters,
             formats: bind.result_column_format_codes.clone(),
         };
         self.portals.insert(bind.portal_name.clone().unwrap_or_default(), portal);
-        self.put(&BindComplete::new());
+        self.write_message(&BindComplete::new());
         Ok(())
     }
 
-    fn columns_of(&self, sql: &str) -> Result<Vec<(String, Option<String>)>, EngineError> {
-        match read_command(sql) {
+    fn describe_columns(&self, sql: &str) -> Result<Vec<(String, Option<String>)>, EngineError> {
+        match parse_command(sql) {
             SqlCommand::Engine(text) => self.database.core().committed().describe(&text),
             _ => Ok(Vec::new()),
         }
@@ -368,42 +383,42 @@
 
     fn describe(&mut self, describe: &Describe) -> Result<(), EngineError> {
         let (sql, formats) = if describe.target_type == b'S' {
-            let stored = self.stored(describe.name.as_ref())?;
-            self.put(&ParameterDescription::new(stored.types));
-            (stored.sql, Vec::new())
+            let statement = self.find_statement(describe.name.as_ref())?;
+            self.write_message(&ParameterDescription::new(statement.types));
+            (statement.sql, Vec::new())
         } else {
             let name = describe.name.clone().unwrap_or_default();
-            let portal = self.portals.get(&name).ok_or_else(no_portal)?;
+            let portal = self.portals.get(&name).ok_or_else(unknown_portal)?;
             (portal.sql.clone(), portal.formats.clone())
         };
-        let columns = self.columns_of(&sql)?;
+        let columns = self.describe_columns(&sql)?;
         match columns.is_empty() {
-            true => self.put(&NoData::new()),
-            false => self.put(&describe_row(&columns, &formats)),
+            true => self.write_message(&NoData::new()),
+            false => self.write_message(&describe_row(&columns, &formats)),
         }
         Ok(())
     }
 
     async fn execute_portal(&mut self, execute: &Execute) -> Result<(), EngineError> {
         let name = execute.name.clone().unwrap_or_default();
-        let portal = self.portals.remove(&name).ok_or_else(no_portal)?;
+        let portal = self.portals.remove(&name).ok_or_else(unknown_portal)?;
         let (rows, tag) = self.execute(&portal.sql, portal.parameters).await?;
-        let columns = self.columns_of(&portal.sql)?;
-        self.put_rows(&rows, &columns, &portal.formats);
-        self.put(&CommandComplete::new(tag));
+        let columns = self.describe_columns(&portal.sql)?;
+        self.write_rows(&rows, &columns, &portal.formats);
+        self.write_message(&CommandComplete::new(tag));
         Ok(())
     }
 
-    /// Runs one statement and returns its rows and tag.
+    /// Runs one statement and returns its rows and command tag.
     async fn execute(
         &mut self,
         sql: &str,
         parameters: Vec<Value>,
     ) -> Result<(EngineRows, String), EngineError> {
-        let command = read_command(sql);
-        let ends = matches!(command, SqlCommand::Commit | SqlCommand::Rollback);
-        if matches!(self.transaction, SessionTransaction::Failed) && !ends {
-            let text = "the transaction failed; roll back".to_owned();
+        let command = parse_command(sql);
+        let ends_transaction = matches!(command, SqlCommand::Commit | SqlCommand::Rollback);
+        if matches!(self.transaction, SessionTransaction::Failed) && !ends_transaction {
+            let text = "current transaction is aborted; send ROLLBACK".to_owned();
             return Err(EngineError { sqlstate: "25P02", text });
         }
         let tag = |tag: &str| Ok((EngineRows::default(), tag.to_owned()));
@@ -427,21 +442,23 @@
                 self.roll_back(SessionTransaction::Idle);
                 tag("ROLLBACK")
             }
-            SqlCommand::Ignored(word) => tag(word),
+            SqlCommand::Ignored(command_tag) => tag(command_tag),
             SqlCommand::Function { name, arguments } => {
-                let rows = self.contract_function(&name, &arguments).await?;
+                let rows = self.call_contract_function(&name, &arguments).await?;
                 Ok((rows, "SELECT 1".to_owned()))
             }
-            SqlCommand::Engine(text) => self.run(LoggedStatement { sql: text, parameters }).await,
+            SqlCommand::Engine(text) => {
+                self.run_statement(LoggedStatement { sql: text, parameters }).await
+            }
         }
     }
 
     fn commit(&mut self) -> Result<(), EngineError> {
         match std::mem::replace(&mut self.transaction, SessionTransaction::Idle) {
-            SessionTransaction::Writing(open) => {
-                let wrote = !open.statements.is_empty();
-                self.database.core().commit(open.statements)?;
-                if wrote {
+            SessionTransaction::Writing(transaction) => {
+                let has_writes = !transaction.statements.is_empty();
+                self.database.core().commit(transaction.statements)?;
+                if has_writes {
                     self.database.counters.writes.fetch_add(1, Ordering::Relaxed);
                     self.database.changed.notify_waiters();
                 }
@@ -451,18 +468,20 @@
         }
     }
 
-    async fn run(
+    /// Runs a statement of the engine in the open transaction, if there is one, or
+    /// else in its own.
+    async fn run_statement(
         &mut self,
         statement: LoggedStatement,
     ) -> Result<(EngineRows, String), EngineError> {
         let is_read = self.database.core().committed().is_read(&statement.sql)?;
         if !is_read && !self.database.core().accepts_writes() {
-            return Err(read_only());
+            return Err(read_only_error());
         }
         let is_primary = self.database.core().role() == DatabaseRole::Primary;
         if is_primary && matches!(self.transaction, SessionTransaction::Begun) {
             let writer = self.database.writer.clone().lock_owned().await;
-            self.database.core().working().control("BEGIN")?;
+            self.database.core().working().run_transaction_control("BEGIN")?;
             self.transaction = SessionTransaction::Writing(WriteTransaction {
                 _writer: writer,
                 statements: Vec::new(),
@@ -475,14 +494,14 @@
             false => None,
         };
         let _slot = database.slots.acquire().await;
-        sleep(database.settings.service_time + database.faults.delay()).await;
-        database.faults.answering().await;
+        sleep(database.settings.service_time + database.faults.statement_delay()).await;
+        database.faults.wait_until_answering().await;
         let verb = statement.sql.split_whitespace().next().unwrap_or_default().to_uppercase();
         let rows = match &mut self.transaction {
-            SessionTransaction::Writing(open) => {
+            SessionTransaction::Writing(transaction) => {
                 let rows = database.core().working().run(&statement)?;
                 if !is_read {
-                    open.statements.push(statement);
+                    transaction.statements.push(statement);
                 }
                 rows
             }
@@ -491,7 +510,7 @@
                 database.core().committed().run(&statement)?
             }
             _ => {
-                let rows = database.core().write(statement)?;
+                let rows = database.core().run_write(statement)?;
                 database.counters.writes.fetch_add(1, Ordering::Relaxed);
                 database.changed.notify_waiters();
                 rows
@@ -506,15 +525,17 @@
         Ok((rows, tag))
     }
 
-    /// The functions by which the system reads and orders a database.
-    async fn contract_function(
+    /// Runs a function of the upstream contract: the queries and orders that hosts
+    /// send to a database. All but the position query return a report.
+    async fn call_contract_function(
         &mut self,
         name: &str,
         arguments: &[String],
     ) -> Result<EngineRows, EngineError> {
-        let bad = || EngineError { sqlstate: "22023", text: format!("bad arguments of {name}") };
+        let invalid_arguments =
+            || EngineError { sqlstate: "22023", text: format!("invalid arguments of {name}") };
         let number = |index: usize| -> Result<u64, EngineError> {
-            arguments.get(index).and_then(|text| text.parse().ok()).ok_or_else(bad)
+            arguments.get(index).and_then(|text| text.parse().ok()).ok_or_else(invalid_arguments)
         };
         match name {
             "hawthornstack_position" => {
@@ -527,26 +548,29 @@
             }
             "hawthornstack_report" => {
                 let position = arguments.get(1).and_then(|text| read_position(text));
-                let known = (number(0)?, position.ok_or_else(bad)?);
-                self.wait_past(known, Duration::from_millis(number(2)?.min(1_000))).await;
+                let known_status = (number(0)?, position.ok_or_else(invalid_arguments)?);
+                self.wait_for_change(known_status, Duration::from_millis(number(2)?.min(1_000)))
+                    .await;
             }
             "hawthornstack_fence" => {
-                self.database.note_order(name);
+                self.database.record_order(name);
                 self.database.core().fence(number(0)?);
                 self.database.changed.notify_waiters();
             }
             "hawthornstack_promote" => {
                 let _writer = self.database.writer.clone().lock_owned().await;
-                self.database.note_order(name);
+                self.database.record_order(name);
                 self.database.core().promote(number(0)?)?;
                 self.database.set_following(None);
                 self.database.changed.notify_waiters();
             }
             "hawthornstack_follow" => {
-                let address =
-                    arguments.get(1).and_then(|text| text.parse().ok()).ok_or_else(bad)?;
+                let address = arguments
+                    .get(1)
+                    .and_then(|text| text.parse().ok())
+                    .ok_or_else(invalid_arguments)?;
                 let _writer = self.database.writer.clone().lock_owned().await;
-                self.group.follow(&self.database, number(0)?, address)?;
+                self.group.follow_primary(&self.database, number(0)?, address)?;
             }
             _ => {
                 let text = format!("function {name} does not exist");
@@ -561,23 +585,25 @@
         })
     }
 
-    async fn wait_past(&self, known: (u64, LogPosition), wait: Duration) {
-        let passed = async {
+    /// Waits until the term or position differs from `known_status`, at most for
+    /// `max_wait`.
+    async fn wait_for_change(&self, known_status: (u64, LogPosition), max_wait: Duration) {
+        let status_changed = async {
             loop {
                 let changed = self.database.changed.notified();
                 tokio::pin!(changed);
                 changed.as_mut().enable();
                 let status = self.database.core().status();
-                if (status.term, status.position) != known {
+                if (status.term, status.position) != known_status {
                     return;
                 }
                 changed.await;
             }
         };
-        let _ = timeout(wait, passed).await;
+        let _ = timeout(max_wait, status_changed).await;
     }
 }
 
-fn no_portal() -> EngineError {
-    EngineError { sqlstate: "34000", text: "the portal does not exist".to_owned() }
+fn unknown_portal() -> EngineError {
+    EngineError { sqlstate: "34000", text: "portal does not exist".to_owned() }
 }
--- a/crates/lab/src/upstreams/pg_values.rs
+++ b/crates/lab/src/upstreams/pg_values.rs
@@ -2,6 +2,7 @@
 use pgwire::messages::data::{DataRow, FieldDescription, RowDescription};
 use rusqlite::types::Value;
 
+// OIDs of PostgreSQL's built-in types.
 const BOOL: u32 = 16;
 const INT8: u32 = 20;
 const INT2: u32 = 21;
@@ -9,20 +10,21 @@
 const TEXT: u32 = 25;
 const FLOAT8: u32 = 701;
 
-/// Type of a column from its declaration, or from the look of an expression.
-pub(super) fn column_type(name: &str, declared: Option<&str>) -> u32 {
+/// Infers a column's type OID from its declared type; for an expression, from the
+/// column name, in which SQLite repeats the text of the expression.
+pub(super) fn infer_column_type(name: &str, declared: Option<&str>) -> u32 {
     let lower = declared.unwrap_or_default().to_lowercase();
-    let number = ["count(", "sum(", "max(", "min(", "coalesce(max(", "coalesce(sum("];
+    let numeric_prefixes = ["count(", "sum(", "max(", "min(", "coalesce(max(", "coalesce(sum("];
     match lower.as_str() {
         "bigint" | "integer" | "int" | "int8" => INT8,
         "real" | "double precision" => FLOAT8,
-        "" if number.iter().any(|prefix| name.to_lowercase().starts_with(prefix)) => INT8,
+        "" if numeric_prefixes.iter().any(|prefix| name.to_lowercase().starts_with(prefix)) => INT8,
         "" if name.parse::<i64>().is_ok() => INT8,
         _ => TEXT,
     }
 }
 
-/// Describes columns with their formats.
+/// Builds the description of the columns with their types and formats.
 pub(super) fn describe_row(
     columns: &[(String, Option<String>)],
     formats: &[i16],
@@ -31,28 +33,29 @@
         .iter()
         .enumerate()
         .map(|(index, (name, declared))| {
-            let oid = column_type(name, declared.as_deref());
-            FieldDescription::new(name.clone(), 0, 0, oid, -1, -1, format_at(formats, index))
+            let oid = infer_column_type(name, declared.as_deref());
+            FieldDescription::new(name.clone(), 0, 0, oid, -1, -1, format_code(formats, index))
         })
         .collect();
     RowDescription::new(fields)
 }
 
-/// The format of a column or parameter: one for all, or one each.
-pub(super) fn format_at(formats: &[i16], index: usize) -> i16 {
+/// Format code of a column or parameter, 0 for text and 1 for binary. A list with
+/// one code applies to all; an empty list means text.
+pub(super) fn format_code(formats: &[i16], index: usize) -> i16 {
     match formats {
         [] => 0,
-        [one] => *one,
-        many => many.get(index).copied().unwrap_or(0),
+        [code] => *code,
+        codes => codes.get(index).copied().unwrap_or(0),
     }
 }
 
-/// Writes one row.
+/// Encodes one row.
 pub(super) fn encode_row(values: &[Value], types: &[u32], formats: &[i16]) -> DataRow {
     let mut data = BytesMut::new();
     for (index, value) in values.iter().enumerate() {
         let oid = types.get(index).copied().unwrap_or(TEXT);
-        match encode_value(value, oid, format_at(formats, index) == 1) {
+        match encode_value(value, oid, format_code(formats, index) == 1) {
             Some(bytes) => {
                 data.put_i32(bytes.len() as i32);
                 data.put_slice(&bytes);
@@ -82,7 +85,7 @@
     })
 }
 
-/// Reads a parameter; `None` if its bytes do not fit its type.
+/// Decodes a parameter; `None` if its bytes are not a valid value of its type.
 pub(super) fn decode_value(bytes: Option<&Bytes>, oid: u32, format: i16) -> Option<Value> {
     let Some(bytes) = bytes else {
         return Some(Value::Null);
--- a/crates/lab/src/upstreams/sql_text.rs
+++ b/crates/lab/src/upstreams/sql_text.rs
@@ -1,23 +1,23 @@
-/// A statement that the stand-in treats by itself.
+/// A parsed statement, by the way the stand-in handles it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum SqlCommand {
-    /// Nothing.
+    /// No statement: blank text or only comments.
     Empty,
     Begin,
     Commit,
     Rollback,
-    /// `SET` and the like, accepted without effect.
+    /// `SET`, `RESET` or `DISCARD`, accepted without effect; holds the command tag.
     Ignored(&'static str),
-    /// `hawthornstack_NAME(arguments)`.
+    /// A call of a `hawthornstack_` function of the upstream contract.
     Function {
         name: String,
         arguments: Vec<String>,
     },
-    /// Anything else, for the engine.
+    /// Any other statement, translated for SQLite.
     Engine(String),
 }
 
-/// Casts of PostgreSQL that SQLite does not know, and the type they give.
+/// PostgreSQL casts that SQLite does not support, with the OIDs of their types.
 const CASTS: [(&str, u32); 7] = [
     ("::bigint", 20),
     ("::int8", 20),
@@ -28,12 +28,13 @@
     ("::varchar", 25),
 ];
 
-/// Prefix of the functions that the upstream contract names.
+/// Start of a statement that calls a function of the upstream contract, in
+/// lower case.
 const CONTRACT_PREFIX: &str = "select hawthornstack_";
 
-/// Splits a text at semicolons outside quotes.
+/// Splits SQL text at semicolons outside quotes and drops empty statements.
 pub(super) fn split_statements(sql: &str) -> Vec<&str> {
-    let mut parts = Vec::new();
+    let mut statements = Vec::new();
     let mut start = 0;
     let mut quote = None;
     for (index, c) in sql.char_indices() {
@@ -41,20 +42,20 @@
             (None, '\'' | '"') => quote = Some(c),
             (Some(open), c) if open == c => quote = None,
             (None, ';') => {
-                parts.push(sql[start..index].trim());
+                statements.push(sql[start..index].trim());
                 start = index + 1;
             }
             _ => {}
         }
     }
-    parts.push(sql[start..].trim());
-    parts.retain(|part| !part.is_empty());
-    parts
+    statements.push(sql[start..].trim());
+    statements.retain(|statement| !statement.is_empty());
+    statements
 }
 
-/// Reads one statement.
-pub(super) fn read_command(sql: &str) -> SqlCommand {
-    let text = strip_comment(sql).trim().trim_end_matches(';').trim();
+/// Parses one statement. Leading comments and trailing semicolons are ignored.
+pub(super) fn parse_command(sql: &str) -> SqlCommand {
+    let text = strip_leading_comments(sql).trim().trim_end_matches(';').trim();
     let lower = text.to_lowercase();
     let first = lower.split_whitespace().next().unwrap_or_default();
     match first {
@@ -64,15 +65,15 @@
         "rollback" | "abort" if !lower.contains(" to ") => SqlCommand::Rollback,
         "set" => SqlCommand::Ignored("SET"),
         "reset" | "discard" => SqlCommand::Ignored("RESET"),
-        _ if lower.starts_with(CONTRACT_PREFIX) => read_function(&text["select ".len()..]),
-        _ => SqlCommand::Engine(translate(text)),
+        _ if lower.starts_with(CONTRACT_PREFIX) => parse_function(&text["select ".len()..]),
+        _ => SqlCommand::Engine(translate_to_sqlite(text)),
     }
 }
 
-fn read_function(text: &str) -> SqlCommand {
+fn parse_function(text: &str) -> SqlCommand {
     let (name, rest) = text.split_once('(').unwrap_or((text, ""));
-    let inner = rest.rsplit_once(')').map_or(rest, |(inner, _)| inner);
-    let arguments = inner
+    let list = rest.rsplit_once(')').map_or(rest, |(list, _)| list);
+    let arguments = list
         .split(',')
         .map(|argument| argument.trim().trim_matches('\'').to_owned())
         .filter(|argument| !argument.is_empty())
@@ -80,16 +81,16 @@
     SqlCommand::Function { name: name.trim().to_lowercase(), arguments }
 }
 
-fn strip_comment(sql: &str) -> &str {
+fn strip_leading_comments(sql: &str) -> &str {
     let text = sql.trim_start();
     match text.strip_prefix("/*").and_then(|body| body.find("*/").map(|end| &body[end + 2..])) {
-        Some(rest) => strip_comment(rest),
+        Some(rest) => strip_leading_comments(rest),
         None => text,
     }
 }
 
-/// Rewrites what SQLite does not know.
-fn translate(sql: &str) -> String {
+/// Removes the casts and row locks that SQLite does not support.
+fn translate_to_sqlite(sql: &str) -> String {
     let mut text = sql.to_owned();
     for (cast, _) in CASTS {
         text = text.replace(cast, "");
@@ -100,15 +101,16 @@
     text
 }
 
-/// Types of the parameters `$1`, `$2`, ...: stated, by a cast, or text.
-pub(super) fn parameter_types(sql: &str, stated: &[u32]) -> Vec<u32> {
+/// Type OIDs of the parameters `$1`, `$2`, ...: declared by the client, else taken
+/// from a cast in the text, else `text`.
+pub(super) fn parameter_types(sql: &str, declared: &[u32]) -> Vec<u32> {
     let count = (1..100).take_while(|number| sql.contains(&format!("${number}"))).count();
-    (0..count.max(stated.len()))
+    (0..count.max(declared.len()))
         .map(|index| {
-            let given = stated.get(index).copied().filter(|oid| *oid != 0);
-            let place = format!("${}", index + 1);
-            let cast = CASTS.iter().find(|(cast, _)| sql.contains(&format!("{place}{cast}")));
-            given.or(cast.map(|(_, oid)| *oid)).unwrap_or(25)
+            let declared_type = declared.get(index).copied().filter(|oid| *oid != 0);
+            let placeholder = format!("${}", index + 1);
+            let cast = CASTS.iter().find(|(cast, _)| sql.contains(&format!("{placeholder}{cast}")));
+            declared_type.or(cast.map(|(_, oid)| *oid)).unwrap_or(25)
         })
         .collect()
 }
--- a/crates/lab/src/upstreams/stand_in_database.rs
+++ b/crates/lab/src/upstreams/stand_in_database.rs
@@ -19,81 +19,88 @@
 
 use super::{DatabaseCore, EngineError, FaultSwitch, pg_session::PgSession};
 
-/// Sizes and delays of a stand-in database.
+/// Identity, capacity and simulated delays of a stand-in database.
 #[derive(Debug, Clone)]
 pub struct StandInSettings {
-    /// Its name.
+    /// Name under which it is announced.
     pub database: DatabaseName,
-    /// Its group.
+    /// Group whose databases it replicates with.
     pub group: GroupName,
-    /// Its data centre.
+    /// Data centre that it announces.
     pub data_centre: DataCentre,
-    /// Statements it runs at a time.
+    /// Statements that can run concurrently.
     pub slots: u32,
-    /// Connections it accepts.
+    /// Maximum number of open connections.
     pub connections: u32,
-    /// Cost of a new connection.
+    /// Time to open a connection; connections to the control database skip it.
     pub connection_cost: Duration,
-    /// Time that a statement holds its slot.
+    /// Execution time of a statement, for which it occupies a slot.
     pub service_time: Duration,
-    /// Shortest lag behind its primary.
+    /// Minimum replication lag behind the primary.
     pub lag: Duration,
-    /// Greatest addition to the lag.
+    /// Maximum random time added to `lag` for each record.
     pub jitter: Duration,
 }
 
-/// What a database counted, for experiments.
+/// Counters of a database since its start, read by experiments.
 #[derive(Debug, Default)]
 pub struct DatabaseCounters {
-    /// Reads that it served as primary.
+    /// Reads run while the database was primary.
     pub primary_reads: AtomicU64,
-    /// Reads that it served as replica.
+    /// Reads run while the database was a replica.
     pub replica_reads: AtomicU64,
-    /// Writes that it committed.
+    /// Write transactions committed.
     pub writes: AtomicU64,
-    /// Connections that it accepted.
+    /// Connections accepted.
     pub opened: AtomicU64,
-    /// Connections that it refused for its limit.
+    /// Connections refused because the limit was reached.
     pub refused: AtomicU64,
-    /// Most connections at a time.
-    pub most_open: AtomicU32,
-    /// Connections open now.
+    /// Highest number of connections open at a time, including refused ones.
+    pub peak_open: AtomicU32,
+    /// Connections currently open.
     pub open: AtomicU32,
 }
 
-/// An order that a database took.
+/// A fence or promote order that a database received.
 #[derive(Debug, Clone)]
-pub struct TakenOrder {
-    /// Name of the contract's function.
+pub struct ReceivedOrder {
+    /// Name of the contract function, such as `hawthornstack_fence`.
     pub function: String,
-    /// When it was taken.
-    pub at: Instant,
+    /// Time of receipt; for a promotion, taken once the open write transaction has
+    /// ended.
+    pub received_at: Instant,
 }
 
-/// One stand-in database: protocol, slots, connections, faults.
+/// A stand-in database that serves PostgreSQL connections, with limits on
+/// statements and connections and with injected faults.
 pub struct StandInDatabase {
-    /// Sizes and delays.
+    /// Identity, capacity and simulated delays.
     pub settings: StandInSettings,
-    /// Where it listens.
+    /// Listening address, the same after a restart.
     pub address: SocketAddr,
-    /// What is wrong with it.
+    /// Injected fault.
     pub faults: FaultSwitch,
-    /// Orders that it took, with their times.
-    pub orders: Mutex<Vec<TakenOrder>>,
-    /// What it counted.
+    /// Fence and promote orders in the order of receipt, whether or not they
+    /// succeeded.
+    pub orders: Mutex<Vec<ReceivedOrder>>,
+    /// Counters since the start.
     pub counters: DatabaseCounters,
     pub(super) slots: Semaphore,
+    /// Held by the open write transaction, and while a record is applied or a
+    /// promote or follow order is executed.
     pub(super) writer: Arc<AsyncMutex<()>>,
+    /// Notifies pending reports of status changes.
     pub(super) changed: Notify,
+    /// Address of the primary whose log is replicated; `None` for a primary.
     pub(super) following: Mutex<Option<SocketAddr>>,
     core: Mutex<DatabaseCore>,
 }
 
 impl StandInDatabase {
-    /// Builds a database that will listen at `address`.
+    /// Creates an empty database for `address`; it accepts no connections yet.
     ///
     /// # Errors
-    /// `EngineError` if no engine can be opened.
+    /// `EngineError` if an SQL engine cannot be opened.
     pub fn new(
         settings: StandInSettings,
         address: SocketAddr,
@@ -113,12 +120,12 @@
         })
     }
 
-    /// Its data, log and role.
+    /// Locks the data, log and role.
     pub fn core(&self) -> MutexGuard<'_, DatabaseCore> {
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What it announces.
+    /// The announcement for the daemons, with the current role and term.
     pub fn announcement(&self, leaving: bool) -> Announcement {
         let status = self.core().status();
         Announcement {
@@ -134,8 +141,8 @@
         }
     }
 
-    pub(super) fn note_order(&self, function: &str) {
-        let order = TakenOrder { function: function.to_owned(), at: Instant::now() };
+    pub(super) fn record_order(&self, function: &str) {
+        let order = ReceivedOrder { function: function.to_owned(), received_at: Instant::now() };
         self.orders.lock().unwrap_or_else(PoisonError::into_inner).push(order);
     }
 
@@ -147,19 +154,20 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Accepts connections, over stops and starts, until dropped.
+    /// Accepts connections until its task is cancelled. The port is closed while the
+    /// database is stopped and opened again afterwards.
     pub(super) async fn listen(
         self: Arc<Self>,
         group: Arc<super::StandInGroup>,
-        first: TcpListener,
+        initial_listener: TcpListener,
     ) {
-        let mut listener = Some(first);
+        let mut initial = Some(initial_listener);
         loop {
-            self.faults.started().await;
-            let open = match listener.take() {
-                Some(open) => open,
+            self.faults.wait_until_started().await;
+            let listener = match initial.take() {
+                Some(listener) => listener,
                 None => match TcpListener::bind(self.address).await {
-                    Ok(open) => open,
+                    Ok(listener) => listener,
                     Err(_) => {
                         tokio::time::sleep(Duration::from_millis(20)).await;
                         continue;
@@ -168,8 +176,8 @@
             };
             loop {
                 let accepted = tokio::select! {
-                    () = self.faults.stopped() => break,
-                    accepted = open.accept() => accepted,
+                    () = self.faults.wait_until_stopped() => break,
+                    accepted = listener.accept() => accepted,
                 };
                 if let Ok((stream, _)) = accepted {
                     tokio::spawn(PgSession::serve(self.clone(), group.clone(), stream));
--- a/crates/lab/src/upstreams/stand_in_group.rs
+++ b/crates/lab/src/upstreams/stand_in_group.rs
@@ -14,20 +14,23 @@
 
 use super::{EngineError, StandInDatabase, StandInSettings, port_pool::free_address};
 
-/// Time between looks at a primary that has nothing new.
-const PULL_INTERVAL: Duration = Duration::from_millis(2);
+/// Interval at which a replica polls a primary that has no new records.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Databases that replicate among each other, in one process.
+/// A replication group of databases in one process. Replicas copy the log of the
+/// primary that they follow.
 pub struct StandInGroup {
-    /// The databases; the first one starts as primary.
+    /// All databases of the group; the first one starts as primary.
     pub databases: Vec<Arc<StandInDatabase>>,
 }
 
 impl StandInGroup {
-    /// Starts databases on free ports of `127.0.0.1`; the first is primary.
+    /// Starts a database for each of the settings, on free ports of `127.0.0.1`. The
+    /// first is the primary, which the others follow. `seed` determines the jitter of
+    /// the replication lag.
     ///
     /// # Errors
-    /// `EngineError` if a port or an engine cannot be opened.
+    /// `EngineError` if a port or an SQL engine cannot be opened.
     pub async fn start(
         settings: Vec<StandInSettings>,
         seed: u64,
@@ -35,7 +38,7 @@
         let mut databases = Vec::new();
         let mut listeners = Vec::new();
         for (index, settings) in settings.into_iter().enumerate() {
-            let listener = bind().await?;
+            let listener = bind_free_port().await?;
             let address = listener.local_addr().map_err(port_error)?;
             let role = match index {
                 0 => DatabaseRole::Primary,
@@ -58,7 +61,7 @@
         Ok(group)
     }
 
-    /// The database that accepts writes in the highest term.
+    /// The database that accepts writes; with several, the one of the highest term.
     pub fn primary(&self) -> Option<Arc<StandInDatabase>> {
         self.databases
             .iter()
@@ -67,20 +70,26 @@
             .cloned()
     }
 
-    pub(super) fn find(&self, address: SocketAddr) -> Option<&Arc<StandInDatabase>> {
+    pub(super) fn find_database(&self, address: SocketAddr) -> Option<&Arc<StandInDatabase>> {
         self.databases.iter().find(|database| database.address == address)
     }
 
-    /// Makes `database` follow the primary at `address`.
-    pub(super) fn follow(
+    /// Makes `database` a replica of the primary at `address`.
+    ///
+    /// # Errors
+    /// `EngineError` 08001 if no primary of `term` is reachable at `address`, 55000
+    /// if `term` is stale; engine errors of the replay.
+    pub(super) fn follow_primary(
         &self,
         database: &StandInDatabase,
         term: u64,
         address: SocketAddr,
     ) -> Result<(), EngineError> {
-        let unreachable =
-            || EngineError { sqlstate: "08001", text: "the primary cannot be reached".to_owned() };
-        let primary = self.find(address).filter(|primary| primary.faults.replicates());
+        let unreachable = || EngineError {
+            sqlstate: "08001",
+            text: format!("no primary of term {term} is reachable at {address}"),
+        };
+        let primary = self.find_database(address).filter(|primary| primary.faults.replicates());
         let primary = primary.ok_or_else(unreachable)?;
         let (log, status) = {
             let core = primary.core();
@@ -95,28 +104,33 @@
         Ok(())
     }
 
-    /// Applies the followed primary's log, each record after its lag.
+    /// Copies the log of the followed primary to `database`. Each record is applied
+    /// in log order, once its simulated lag has passed.
     async fn replicate(self: Arc<Self>, database: Arc<StandInDatabase>, seed: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut ready_at = Instant::now();
+        let mut apply_at = Instant::now();
         loop {
             let next = self.next_record(&database);
             let Some((record, term)) = next else {
-                sleep(PULL_INTERVAL).await;
+                sleep(POLL_INTERVAL).await;
                 continue;
             };
             let jitter = database.settings.jitter.as_micros() as u64;
-            let extra = Duration::from_micros(rng.random_range(0..=jitter));
-            let due = record.committed_at + database.settings.lag + extra;
-            ready_at = ready_at.max(due);
-            sleep_until(ready_at).await;
+            let random_lag = Duration::from_micros(rng.random_range(0..=jitter));
+            let due = record.committed_at + database.settings.lag + random_lag;
+            apply_at = apply_at.max(due);
+            sleep_until(apply_at).await;
             let _writer = database.writer.lock().await;
             let mut core = database.core();
-            let takes = core.takes_records_of(term) && database.faults.replicates();
-            // The log may have changed while the record was on its way.
-            if takes && self.follows_at(&database, core.log_length(), &record) {
+            let accepted = core.accepts_records_of(term) && database.faults.replicates();
+            // Either log may have changed while the record was delayed.
+            if accepted && self.is_next_record(&database, core.log_length(), &record) {
                 if let Err(error) = core.apply(record) {
-                    log::error!(target: "upstreams", "Replication failed: {error}.");
+                    let name = &database.settings.database;
+                    log::error!(
+                        target: "upstreams",
+                        "Applying a log record to {name} failed; retrying: {error}."
+                    );
                 }
                 drop(core);
                 database.changed.notify_waiters();
@@ -124,31 +138,35 @@
         }
     }
 
+    /// The first record of the followed primary's log that `database` does not have,
+    /// with the primary's current term.
     fn next_record(&self, database: &StandInDatabase) -> Option<(Arc<super::LogRecord>, u64)> {
         if !database.faults.replicates() {
             return None;
         }
         let address = (*database.following.lock().unwrap_or_else(PoisonError::into_inner))?;
-        let primary = self.find(address).filter(|primary| primary.faults.replicates())?;
+        let primary = self.find_database(address).filter(|primary| primary.faults.replicates())?;
         let length = database.core().log_length();
         let core = primary.core();
         let record = core.record(length)?;
         Some((record, core.status().term))
     }
 
-    fn follows_at(
+    /// True if `record` is still at index `length` in the log of the primary that
+    /// `database` follows.
+    fn is_next_record(
         &self,
         database: &StandInDatabase,
         length: usize,
         record: &Arc<super::LogRecord>,
     ) -> bool {
         let address = *database.following.lock().unwrap_or_else(PoisonError::into_inner);
-        let primary = address.and_then(|address| self.find(address));
+        let primary = address.and_then(|address| self.find_database(address));
         primary.is_some_and(|primary| {
-            let same = |found: Arc<super::LogRecord>| Arc::ptr_eq(&found, record);
+            let is_record = |found: Arc<super::LogRecord>| Arc::ptr_eq(&found, record);
             !std::ptr::eq(primary.as_ref(), database)
                 && primary.faults.replicates()
-                && primary.core().record(length).is_some_and(same)
+                && primary.core().record(length).is_some_and(is_record)
         })
     }
 }
@@ -159,7 +177,7 @@
     }
 }
 
-async fn bind() -> Result<TcpListener, EngineError> {
+async fn bind_free_port() -> Result<TcpListener, EngineError> {
     let address = free_address().map_err(port_error)?;
     TcpListener::bind(address).await.map_err(port_error)
 }
