--- a/crates/wire/src/operators/messages.rs
+++ b/crates/wire/src/operators/messages.rs
@@ -6,133 +6,135 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Asks for a plan.
+/// Request for a plan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanRequest {
-    /// What the operator wants.
+    /// The change that the operator wants.
     pub intent: Intent,
 }
 
-/// A plan to read.
+/// A plan for the operator to review and confirm.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanResponse {
-    /// Identity of the plan, for its confirmation.
+    /// Id of the plan, for `ConfirmRequest`.
     pub id: Arc<str>,
-    /// Configuration version that it was made on.
+    /// Configuration version that the plan was made for.
     pub base_version: u64,
-    /// The steps, for programs.
+    /// The planned changes, for programs.
     pub changes: Vec<PlannedChange>,
-    /// The steps, one sentence each.
+    /// The planned changes as text, one sentence each.
     pub steps: Vec<String>,
 }
 
-/// Confirms a plan.
+/// Request to apply a plan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmRequest {
-    /// Identity of this request; a repeat gets the first answer.
+    /// Idempotency key: a repeated request gets the result of the first one.
     pub request: Arc<str>,
-    /// The plan.
+    /// Id of the plan.
     pub plan: Arc<str>,
-    /// Who confirms.
+    /// Name of the operator, for the audit trail.
     pub operator: Arc<str>,
 }
 
-/// How a confirmation ended.
+/// Result of a confirmation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmResponse {
     /// Number of the result code.
     pub code: u16,
-    /// One sentence on it.
+    /// Description of the result code, one sentence.
     pub text: String,
-    /// Configuration version after it.
+    /// Configuration version after the confirmation.
     pub version: u64,
-    /// What changed since the plan's base, if it was refused for that.
+    /// Changes since the plan's base version, one sentence each, if they are why
+    /// it was refused.
     pub changed_since: Vec<String>,
 }
 
-/// A refused request.
+/// Answer to a refused request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorResponse {
     /// Number of the result code.
     pub code: u16,
-    /// What is wrong.
+    /// Why the request was refused, one sentence.
     pub text: String,
-    /// How to mend it.
+    /// How to fix it.
     pub mend: String,
-    /// Number of the host to ask instead, if known.
+    /// The host to send the request to instead, if known.
     pub leader: Option<HostId>,
 }
 
-/// One database of a group.
+/// Status of one database of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the database, unique in the system.
     pub database: DatabaseName,
-    /// Where it accepts connections.
+    /// Address at which it accepts PostgreSQL connections.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// How far it has come in its group.
+    /// Its membership in the group: `joining`, `counting`, `draining` or `left`.
     pub standing: String,
-    /// `primary` or `replica`, as last reported here; empty if unknown.
+    /// `primary` or `replica`, as last reported to the answering host; empty if
+    /// unknown.
     pub role: String,
     /// Last reported position, as `TERM/OFFSET`; empty if unknown.
     pub position: String,
-    /// Connections in use by the answering host.
+    /// Number of its connections that the answering host has in use.
     pub in_use: u32,
 }
 
-/// One group.
+/// Status of one group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// Its name.
+    /// Name of the group.
     pub group: GroupName,
-    /// Term in force.
+    /// Current term.
     pub term: u64,
     /// Primary of that term.
     pub primary: DatabaseName,
     /// `steady`, `fencing` or `promoting`.
     pub phase: String,
-    /// Hosts that hold its connections.
+    /// Gateway hosts, which hold the connections to its databases.
     pub homes: Vec<HostId>,
     /// Its databases.
     pub members: Vec<MemberStatus>,
-    /// Requests that wait on the answering host.
+    /// Number of requests queued for the group on the answering host.
     pub waiting: usize,
 }
 
-/// One host of the system.
+/// Status of one host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostStatus {
-    /// Its number.
+    /// Number of the host.
     pub host: HostId,
-    /// Where other hosts reach it.
+    /// Address at which it accepts connections from other hosts.
     pub peer_address: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// It takes no new callers.
+    /// True if the host accepts no new callers.
     pub draining: bool,
 }
 
-/// The system as one host sees it.
+/// State of the system as seen by the answering host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusResponse {
     /// The answering host.
     pub host: HostId,
-    /// Control's leader, as far as known.
+    /// Leader of the control group, if known.
     pub leader: Option<HostId>,
-    /// The answering host leads and can prove it.
+    /// True if the answering host is the leader and can prove it.
     pub is_current_leader: bool,
-    /// The answering host may serve.
+    /// True if the answering host may serve requests.
     pub has_lease: bool,
     /// Configuration version in force on the answering host.
     pub version: u64,
-    /// Log entries applied on the answering host.
+    /// Number of log entries applied on the answering host.
     pub applied: u64,
-    /// Services by name.
+    /// Declared services, by name.
     pub services: Vec<(Arc<str>, ServiceDeclaration)>,
-    /// Groups.
+    /// All groups.
     pub groups: Vec<GroupStatus>,
-    /// Hosts.
+    /// All hosts.
     pub hosts: Vec<HostStatus>,
 }
--- a/crates/wire/src/operators/mod.rs
+++ b/crates/wire/src/operators/mod.rs
@@ -1,4 +1,5 @@
-//! Operators' and upstreams' interface: JSON over HTTP.
+//! HTTP interface for operators, upstreams and the load balancer. Bodies are JSON
+//! except for metrics.
 
 mod messages;
 
@@ -7,17 +8,18 @@
     PlanRequest, PlanResponse, StatusResponse,
 };
 
-/// Path that takes announcements.
+/// `POST`: announcement of a database.
 pub const ANNOUNCE_PATH: &str = "/v1/announcements";
-/// Path that takes intents and answers with plans.
+/// `POST`: an intent; the answer is a plan.
 pub const PLAN_PATH: &str = "/v1/plans";
-/// Path that takes confirmations.
+/// `POST`: confirmation of a plan.
 pub const CONFIRM_PATH: &str = "/v1/confirmations";
-/// Path that answers with the state of the system as seen by one host.
+/// `GET`: state of the system as seen by the answering host.
 pub const STATUS_PATH: &str = "/v1/status";
-/// Path that answers with the audit trail.
+/// `GET`: audit trail.
 pub const AUDIT_PATH: &str = "/v1/audit";
-/// Path that answers with metrics in the Prometheus text form.
+/// `GET`: metrics in the Prometheus text format.
 pub const METRICS_PATH: &str = "/metrics";
-/// Path that tells the balancer whether to send callers here.
+/// `GET`: health check of the load balancer; 200 while the host accepts new
+/// callers, otherwise 503.
 pub const HEALTH_PATH: &str = "/health";
--- a/crates/wire/src/reports.rs
+++ b/crates/wire/src/reports.rs
@@ -1,4 +1,5 @@
-//! What databases answer to report and order functions; see `docs/UPSTREAM.md`.
+//! Statements that call the report and order functions of a database, and the
+//! text form of the reports they return; see `docs/UPSTREAM.md`.
 
 use hawthornstack_decisions::{
     directory::{DatabaseRole, DatabaseStatus},
@@ -6,20 +7,20 @@
     positions::{BranchHistory, BranchStart, LogPosition},
 };
 
-/// Names of the columns of a report, in order; all are text.
+/// Column names of a report, in order. All columns are text.
 pub const REPORT_COLUMNS: [&str; 5] = ["role", "term", "fenced_below", "position", "history"];
 
-/// Statement that asks for the position after the statements before it.
+/// Statement that returns the log position after the statements before it.
 pub const POSITION_STATEMENT: &str = "SELECT hawthornstack_position()";
 
-/// Statement that answers with a report as soon as the database is in another
-/// term than `term` or at another position than `position`, or after `wait_ms`
-/// milliseconds.
+/// Builds the statement that returns a report as soon as the database's term
+/// differs from `term` or its position from `position`, and after `wait_ms`
+/// milliseconds at the latest.
 pub fn report_statement(term: u64, position: LogPosition, wait_ms: u64) -> String {
     format!("SELECT hawthornstack_report({term}, '{position}', {wait_ms})")
 }
 
-/// Statement that gives an order; answered with a report.
+/// Builds the statement for an order. The database returns a report.
 pub fn order_statement(order: &DatabaseOrder) -> String {
     match order {
         DatabaseOrder::Report => report_statement(0, LogPosition::default(), 0),
@@ -31,18 +32,19 @@
     }
 }
 
-/// Writes a position as `TERM/OFFSET`.
+/// Formats a position as `TERM/OFFSET`.
 pub fn position_text(position: LogPosition) -> String {
     position.to_string()
 }
 
-/// Reads `TERM/OFFSET`.
+/// Parses `TERM/OFFSET`; `None` if the text has another form.
 pub fn read_position(text: &str) -> Option<LogPosition> {
     let (term, offset) = text.split_once('/')?;
     Some(LogPosition::new(term.parse().ok()?, offset.parse().ok()?))
 }
 
-/// Writes a report's columns.
+/// Formats a status as a report, in the order of `REPORT_COLUMNS`. The history
+/// is a list of `TERM/BASE_OFFSET` separated by commas.
 pub fn report_row(status: &DatabaseStatus) -> [String; 5] {
     let role = match status.role {
         DatabaseRole::Primary => "primary",
@@ -63,7 +65,7 @@
     ]
 }
 
-/// Reads a report's columns.
+/// Parses a report; `None` if a column is missing, surplus or invalid.
 pub fn read_report(row: &[String]) -> Option<DatabaseStatus> {
     let [role, term, fenced_below, position, history] = row else {
         return None;
--- a/crates/wire/tests/message_snapshots.rs
+++ b/crates/wire/tests/message_snapshots.rs
@@ -1,8 +1,9 @@
-//! Messages between hosts and records on disk keep their encoded form, so that
-//! hosts of two builds understand each other and a new build reads old journals.
+//! Guards the encoded form of messages between hosts and of records on disk: if
+//! it changes, hosts of two builds cannot understand each other and a new build
+//! cannot read old journals.
 //!
-//! Each sample stands here as JSON with the names that leave the process. It is
-//! decoded, encoded as CBOR, decoded again, and must come back without a loss.
+//! Each sample is JSON with the serialised names of fields and variants. It is
+//! decoded, encoded as CBOR, decoded again, and must come back unchanged.
 
 use std::collections::BTreeSet;
 
@@ -36,8 +37,8 @@
     bytes
 }
 
-/// Decodes a sample, checks that both encodings keep all of it, and returns
-/// its CBOR form.
+/// Decodes a sample, checks that neither JSON nor CBOR loses a part of it, and
+/// returns its CBOR encoding.
 fn encoded<T: Serialize + DeserializeOwned>(sample: &Value) -> Vec<u8> {
     let value: T = serde_json::from_value(sample.clone()).unwrap();
     assert_eq!(&serde_json::to_value(&value).unwrap(), sample);
@@ -47,23 +48,24 @@
     bytes
 }
 
-/// The CBOR form of all samples of an enum, one for each variant.
+/// Returns the CBOR encoding of all samples of an enum and checks that there is
+/// one for each variant. Serde names the variants in its error for an unknown one.
 fn all_variants<T: Serialize + DeserializeOwned>(samples: &[Value]) -> String {
-    let unknown = serde_json::from_value::<T>(json!({ "?": null })).err().unwrap().to_string();
-    let known: BTreeSet<&str> = unknown.split('`').skip(3).step_by(2).collect();
-    let shown: BTreeSet<&str> = samples.iter().map(variant).collect();
+    let error = serde_json::from_value::<T>(json!({ "?": null })).err().unwrap().to_string();
+    let known: BTreeSet<&str> = error.split('`').skip(3).step_by(2).collect();
+    let shown: BTreeSet<&str> = samples.iter().map(variant_name).collect();
     assert_eq!(known, shown, "a sample for each variant");
     samples
         .iter()
-        .map(|sample| format!("{}\n{}\n", variant(sample), hex(&encoded::<T>(sample))))
+        .map(|sample| format!("{}\n{}\n", variant_name(sample), hex(&encoded::<T>(sample))))
         .collect()
 }
 
-fn variant(sample: &Value) -> &str {
+fn variant_name(sample: &Value) -> &str {
     match sample {
         Value::String(name) => name,
         Value::Object(fields) => fields.keys().next().unwrap(),
-        other => panic!("{other} is no variant"),
+        other => panic!("{other} is not an enum variant"),
     }
 }
 
@@ -365,7 +367,8 @@
     insta::assert_snapshot!("journal_records", all_variants::<JournalRecord>(&records));
 }
 
-/// Snapshots of the first builds lack the fields that came later.
+/// Snapshots of the control state that the first builds wrote lack the fields
+/// added since.
 #[test]
 fn early_state() {
     let mut state = control_state();
@@ -482,7 +485,7 @@
     insta::assert_snapshot!("outcomes", all_variants::<Outcome>(&outcomes));
 }
 
-/// A caller carries its token from one host to another.
+/// Callers present the token of one host to another, which has to decode it.
 #[test]
 fn session_tokens() {
     let sample = json!({ "session": "s-1", "group": "books.1", "mark": position() });
