--- a/crates/cli/src/commands/arguments.rs
+++ b/crates/cli/src/commands/arguments.rs
@@ -79,7 +79,7 @@
 #[argh(subcommand, name = "limit")]
 pub(super) struct LimitIntent {
     /// service
-    #[argh(positional, from_str_fn(read_text))]
+    #[argh(positional, from_str_fn(parse_text))]
     pub(super) service: Arc<str>,
     /// requests that may wait on one host
     #[argh(option)]
@@ -91,13 +91,13 @@
 #[argh(subcommand, name = "confirm")]
 pub(super) struct ConfirmCommand {
     /// id of the plan
-    #[argh(positional, from_str_fn(read_text))]
+    #[argh(positional, from_str_fn(parse_text))]
     pub(super) plan: Arc<str>,
     /// id of this request; give the same again when an answer was lost
-    #[argh(option, from_str_fn(read_text))]
+    #[argh(option, from_str_fn(parse_text))]
     pub(super) request: Option<Arc<str>>,
     /// who confirms (default $USER)
-    #[argh(option, from_str_fn(read_text))]
+    #[argh(option, from_str_fn(parse_text))]
     pub(super) operator: Option<Arc<str>>,
 }
 
@@ -156,6 +156,6 @@
     pub(super) files: Vec<PathBuf>,
 }
 
-fn read_text(text: &str) -> Result<Arc<str>, String> {
+fn parse_text(text: &str) -> Result<Arc<str>, String> {
     Ok(Arc::from(text))
 }
--- a/crates/cli/src/commands/execution.rs
+++ b/crates/cli/src/commands/execution.rs
@@ -13,24 +13,25 @@
 use super::{
     CliArguments,
     arguments::{CliCommand, ConfirmCommand, PlanIntent, TraceRequestCommand},
-    pages,
     request_timeline::RequestTimeline,
+    text_output,
 };
 use crate::console::{ConsoleError, DaemonClient, FileSnafu, RefusedSnafu, UnknownCodeSnafu};
 
-/// Daemon that is asked unless told otherwise.
+/// Operator address of the daemon to query if neither `--hosts` nor
+/// `HAWTHORNSTACK_HOSTS` is given.
 const DEFAULT_HOSTS: &str = "127.0.0.1:8432";
-/// Time between two pages of `--watch`.
+/// Time between two queries of `--watch`.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a page shows of the status.
-type StatusPage = fn(&StatusResponse) -> String;
+/// Formats a part of the status as text.
+type StatusFormatter = fn(&StatusResponse) -> String;
 
-/// Runs one command.
+/// Runs the command given in the arguments and prints its result.
 ///
 /// # Errors
-/// `ConsoleError`, with the exit code of the process.
-pub fn run(arguments: &CliArguments) -> Result<(), ConsoleError> {
+/// `ConsoleError`; it determines the exit code of the process.
+pub fn run_command(arguments: &CliArguments) -> Result<(), ConsoleError> {
     let hosts = arguments
         .hosts
         .clone()
@@ -39,14 +40,18 @@
     let client = DaemonClient::new(&hosts);
     let json = arguments.json;
     match &arguments.command {
-        CliCommand::Plan(command) => plan(&client, &command.intent, json),
-        CliCommand::Confirm(command) => confirm(&client, command, json),
-        CliCommand::Status(command) => status(&client, pages::status, command.watch, json),
-        CliCommand::Services(_) => status(&client, pages::services, false, json),
-        CliCommand::Upstreams(command) => status(&client, pages::upstreams, command.watch, json),
-        CliCommand::Hosts(_) => status(&client, pages::hosts, false, json),
-        CliCommand::Audit(_) => audit(&client, json),
-        CliCommand::Explain(command) => explain(command.code),
+        CliCommand::Plan(command) => request_plan(&client, &command.intent, json),
+        CliCommand::Confirm(command) => confirm_plan(&client, command, json),
+        CliCommand::Status(command) => {
+            show_status(&client, text_output::format_status, command.watch, json)
+        }
+        CliCommand::Services(_) => show_status(&client, text_output::format_services, false, json),
+        CliCommand::Upstreams(command) => {
+            show_status(&client, text_output::format_upstreams, command.watch, json)
+        }
+        CliCommand::Hosts(_) => show_status(&client, text_output::format_hosts, false, json),
+        CliCommand::Audit(_) => show_audit_trail(&client, json),
+        CliCommand::Explain(command) => explain_code(command.code),
         CliCommand::TraceRequest(command) => trace_request(command, json),
     }
 }
@@ -55,7 +60,7 @@
     let timeline = RequestTimeline::read(command)?;
     match json {
         true => print_json(&timeline),
-        false => print!("{}", timeline.text()),
+        false => print!("{}", timeline.to_text()),
     }
     Ok(())
 }
@@ -63,39 +68,39 @@
 fn print_json(value: &impl serde::Serialize) {
     match serde_json::to_string(value) {
         Ok(text) => println!("{text}"),
-        Err(error) => eprintln!("The answer cannot be printed: {error}."),
+        Err(error) => eprintln!("The result cannot be printed as JSON: {error}."),
     }
 }
 
-fn bad_input(text: &str, reason: impl std::fmt::Display) -> ConsoleError {
+fn invalid_argument(text: &str, reason: impl std::fmt::Display) -> ConsoleError {
     FileSnafu { path: Path::new(text), reason: reason.to_string() }.build()
 }
 
 fn read_declaration(path: &Path) -> Result<Declaration, ConsoleError> {
-    let refuse = |reason: String| FileSnafu { path, reason }.build();
-    let text = std::fs::read_to_string(path).map_err(|error| refuse(error.to_string()))?;
-    serde_yaml_ng::from_str(&text).map_err(|error| refuse(error.to_string()))
+    let file_error = |reason: String| FileSnafu { path, reason }.build();
+    let text = std::fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
+    serde_yaml_ng::from_str(&text).map_err(|error| file_error(error.to_string()))
 }
 
-/// A host is written `hNUMBER`; anything else names a database.
-fn read_host(target: &str) -> Option<HostId> {
+/// Parses `hNUMBER` as a host; any other target is the name of a database.
+fn parse_host(target: &str) -> Option<HostId> {
     target.strip_prefix('h').and_then(|number| number.parse().ok()).map(HostId)
 }
 
-fn read_database(target: &str) -> Result<DatabaseName, ConsoleError> {
-    DatabaseName::new(target).map_err(|error| bad_input(target, error))
+fn parse_database(target: &str) -> Result<DatabaseName, ConsoleError> {
+    DatabaseName::new(target).map_err(|error| invalid_argument(target, error))
 }
 
-fn read_intent(intent: &PlanIntent) -> Result<Intent, ConsoleError> {
+fn build_intent(intent: &PlanIntent) -> Result<Intent, ConsoleError> {
     Ok(match intent {
         PlanIntent::Declare(declare) => Intent::Declare(read_declaration(&declare.file)?),
-        PlanIntent::Drain(drain) => match read_host(&drain.target) {
+        PlanIntent::Drain(drain) => match parse_host(&drain.target) {
             Some(host) => Intent::DrainHost(host),
-            None => Intent::DrainDatabase(read_database(&drain.target)?),
+            None => Intent::DrainDatabase(parse_database(&drain.target)?),
         },
-        PlanIntent::Restore(restore) => match read_host(&restore.target) {
+        PlanIntent::Restore(restore) => match parse_host(&restore.target) {
             Some(host) => Intent::RestoreHost(host),
-            None => Intent::RestoreDatabase(read_database(&restore.target)?),
+            None => Intent::RestoreDatabase(parse_database(&restore.target)?),
         },
         PlanIntent::Limit(limit) => Intent::ChangeWaitingLimit {
             service: limit.service.clone(),
@@ -104,18 +109,22 @@
     })
 }
 
-fn plan(client: &DaemonClient, intent: &PlanIntent, json: bool) -> Result<(), ConsoleError> {
-    let request = PlanRequest { intent: read_intent(intent)? };
+fn request_plan(
+    client: &DaemonClient,
+    intent: &PlanIntent,
+    json: bool,
+) -> Result<(), ConsoleError> {
+    let request = PlanRequest { intent: build_intent(intent)? };
     let plan: PlanResponse = client.post(PLAN_PATH, &request)?;
     if json {
         print_json(&plan);
     } else {
-        print!("{}", pages::plan(&plan));
+        print!("{}", text_output::format_plan(&plan));
     }
     Ok(())
 }
 
-fn confirm(
+fn confirm_plan(
     client: &DaemonClient,
     command: &ConfirmCommand,
     json: bool,
@@ -124,14 +133,14 @@
         Arc::from(std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned()))
     });
     let request = command.request.clone().unwrap_or_else(new_request_id);
-    let question = ConfirmRequest { request, plan: command.plan.clone(), operator };
-    let answer: ConfirmResponse = client.post(CONFIRM_PATH, &question)?;
+    let confirmation = ConfirmRequest { request, plan: command.plan.clone(), operator };
+    let answer: ConfirmResponse = client.post(CONFIRM_PATH, &confirmation)?;
     if json {
         print_json(&answer);
     }
     if answer.code != ResultCode::Done.number() {
-        let mend = answer.changed_since.join("\n");
-        return RefusedSnafu { code: answer.code, text: answer.text, mend }.fail();
+        let remedy = answer.changed_since.join("\n");
+        return RefusedSnafu { code: answer.code, text: answer.text, remedy }.fail();
     }
     if !json {
         println!("Version {} is in force.", answer.version);
@@ -139,16 +148,17 @@
     Ok(())
 }
 
-/// An id that no other request has: the time and the process.
+/// Builds an id from the time and the process id, so that no two requests share
+/// one.
 fn new_request_id() -> Arc<str> {
     let now = std::time::SystemTime::now();
-    let since = now.duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    Arc::from(format!("cli-{:x}-{:x}", since.as_nanos(), std::process::id()))
+    let since_epoch = now.duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    Arc::from(format!("cli-{:x}-{:x}", since_epoch.as_nanos(), std::process::id()))
 }
 
-fn status(
+fn show_status(
     client: &DaemonClient,
-    page: StatusPage,
+    format: StatusFormatter,
     watch: bool,
     json: bool,
 ) -> Result<(), ConsoleError> {
@@ -157,7 +167,7 @@
         if json {
             print_json(&status);
         } else {
-            print!("{}", page(&status));
+            print!("{}", format(&status));
         }
         if !watch {
             return Ok(());
@@ -166,24 +176,24 @@
     }
 }
 
-fn audit(client: &DaemonClient, json: bool) -> Result<(), ConsoleError> {
+fn show_audit_trail(client: &DaemonClient, json: bool) -> Result<(), ConsoleError> {
     let records: Vec<AuditRecord> = client.get(AUDIT_PATH)?;
     if json {
         records.iter().for_each(print_json);
     } else {
-        print!("{}", pages::audit(&records));
+        print!("{}", text_output::format_audit_trail(&records));
     }
     match verify_chain(&records) {
         None => Ok(()),
         Some(sequence) => {
             let text = format!("record {sequence} does not follow from the one before it");
-            let mend = "The trail was changed; compare it with another host's.".to_owned();
-            RefusedSnafu { code: ResultCode::JournalDamaged.number(), text, mend }.fail()
+            let remedy = "The trail was changed; compare it with another host's.".to_owned();
+            RefusedSnafu { code: ResultCode::JournalDamaged.number(), text, remedy }.fail()
         }
     }
 }
 
-fn explain(number: u16) -> Result<(), ConsoleError> {
+fn explain_code(number: u16) -> Result<(), ConsoleError> {
     let code = ResultCode::ALL.iter().find(|code| code.number() == number);
     let Some(code) = code else {
         return UnknownCodeSnafu { code: number }.fail();
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,9 +1,9 @@
-//! The commands of the operators' tool.
+//! Command-line arguments, and the commands that they select.
 
 mod arguments;
 mod execution;
-mod pages;
 mod request_timeline;
+mod text_output;
 
 pub use arguments::CliArguments;
-pub use execution::run;
+pub use execution::run_command;
--- a/crates/cli/src/commands/pages.rs
+++ b/crates/cli/src/commands/text_output.rs
@@ -3,8 +3,7 @@
 
 use crate::console::TextTable;
 
-/// A plan to read.
-pub(super) fn plan(plan: &PlanResponse) -> String {
+pub(super) fn format_plan(plan: &PlanResponse) -> String {
     if plan.changes.is_empty() {
         return format!("Nothing to change; version {} is as declared.\n", plan.base_version);
     }
@@ -16,8 +15,8 @@
     text
 }
 
-/// The state of the system in short.
-pub(super) fn status(status: &StatusResponse) -> String {
+/// Formats the state of the answering daemon and a table of all groups.
+pub(super) fn format_status(status: &StatusResponse) -> String {
     let leader = status.leader.map_or("unknown".to_owned(), |leader| leader.to_string());
     let lease = if status.has_lease { "may serve" } else { "has no lease" };
     let mut text = format!(
@@ -40,8 +39,7 @@
     text
 }
 
-/// Declared services.
-pub(super) fn services(status: &StatusResponse) -> String {
+pub(super) fn format_services(status: &StatusResponse) -> String {
     let mut table = TextTable::new(&["SERVICE", "INSTANCES", "DATABASES", "MAX WAITING"]);
     for (name, service) in &status.services {
         table.push(vec![
@@ -54,11 +52,11 @@
     table.render()
 }
 
-/// Databases.
-pub(super) fn upstreams(status: &StatusResponse) -> String {
-    let heading =
+/// Formats a table of the databases of all groups.
+pub(super) fn format_upstreams(status: &StatusResponse) -> String {
+    let headings =
         ["DATABASE", "GROUP", "ADDRESS", "DATA CENTRE", "STANDING", "ROLE", "POSITION", "IN USE"];
-    let mut table = TextTable::new(&heading);
+    let mut table = TextTable::new(&headings);
     for group in &status.groups {
         for member in &group.members {
             table.push(vec![
@@ -76,8 +74,7 @@
     table.render()
 }
 
-/// Hosts of the system.
-pub(super) fn hosts(status: &StatusResponse) -> String {
+pub(super) fn format_hosts(status: &StatusResponse) -> String {
     let mut table = TextTable::new(&["HOST", "PEER ADDRESS", "DATA CENTRE", "STATE"]);
     for host in &status.hosts {
         let state = if host.draining { "draining" } else { "serving" };
@@ -91,8 +88,7 @@
     table.render()
 }
 
-/// The audit trail.
-pub(super) fn audit(records: &[AuditRecord]) -> String {
+pub(super) fn format_audit_trail(records: &[AuditRecord]) -> String {
     let mut table = TextTable::new(&["#", "UNIX MS", "OPERATOR", "PLAN", "RESULT", "CHANGES"]);
     for record in records {
         let changes: Vec<String> = record.changes.iter().map(ToString::to_string).collect();
--- a/crates/cli/src/console/daemon_client.rs
+++ b/crates/cli/src/console/daemon_client.rs
@@ -6,17 +6,18 @@
 
 use super::ConsoleError;
 
-/// Time for one daemon to answer.
+/// Time limit for one daemon to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Asks the first daemon that answers.
+/// HTTP client that queries the daemons in order until one accepts the request.
 pub struct DaemonClient {
     agent: Agent,
     hosts: Vec<String>,
 }
 
 impl DaemonClient {
-    /// A client of daemons, as `ADDRESS:PORT` separated by commas.
+    /// Creates a client for operator addresses, as `ADDRESS:PORT` separated by
+    /// commas.
     pub fn new(hosts: &str) -> Self {
         let config = Agent::config_builder()
             .timeout_global(Some(ANSWER_TIMEOUT))
@@ -26,34 +27,38 @@
         Self { agent: Agent::new_with_config(config), hosts }
     }
 
-    /// Reads a page.
+    /// Sends a GET request and decodes the answer.
     ///
     /// # Errors
-    /// `ConsoleError` if no daemon answers or the answer is a refusal.
+    /// `ConsoleError::Refused` if a daemon refuses the request and none accepts
+    /// it, `ConsoleError::Unreachable` if none answers.
     pub fn get<A: DeserializeOwned>(&self, path: &str) -> Result<A, ConsoleError> {
-        self.first(|host| self.agent.get(format!("http://{host}{path}")).call())
+        self.query_daemons(|host| self.agent.get(format!("http://{host}{path}")).call())
     }
 
-    /// Sends a question.
+    /// Sends a POST request with a JSON body and decodes the answer.
     ///
     /// # Errors
-    /// `ConsoleError` if no daemon answers or the answer is a refusal.
+    /// `ConsoleError::Refused` if a daemon refuses the request and none accepts
+    /// it, `ConsoleError::Unreachable` if none answers.
     pub fn post<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
-        question: &Q,
+        body: &Q,
     ) -> Result<A, ConsoleError> {
-        self.first(|host| self.agent.post(format!("http://{host}{path}")).send_json(question))
+        self.query_daemons(|host| self.agent.post(format!("http://{host}{path}")).send_json(body))
     }
 
-    fn first<A, F>(&self, ask: F) -> Result<A, ConsoleError>
+    /// Returns the first answer that is not a refusal. If there is none, the error
+    /// is the last refusal, or `Unreachable` without one.
+    fn query_daemons<A, F>(&self, send: F) -> Result<A, ConsoleError>
     where
         A: DeserializeOwned,
         F: Fn(&str) -> Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     {
-        let mut refused = None;
+        let mut refusal = None;
         for host in &self.hosts {
-            let Ok(mut response) = ask(host) else {
+            let Ok(mut response) = send(host) else {
                 continue;
             };
             let Ok(text) = response.body_mut().read_to_string() else {
@@ -64,10 +69,10 @@
             }
             if let Ok(error) = serde_json::from_str::<ErrorResponse>(&text) {
                 let ErrorResponse { code, text, mend, .. } = error;
-                refused = Some(ConsoleError::Refused { code, text, mend });
+                refusal = Some(ConsoleError::Refused { code, text, remedy: mend });
             }
         }
         let hosts = self.hosts.join(", ");
-        Err(refused.unwrap_or(ConsoleError::Unreachable { hosts }))
+        Err(refusal.unwrap_or(ConsoleError::Unreachable { hosts }))
     }
 }
--- a/crates/cli/src/console/mod.rs
+++ b/crates/cli/src/console/mod.rs
@@ -1,4 +1,4 @@
-//! Talking to daemons and printing for people.
+//! Client of the daemons, errors shown to the operator and tables of text.
 
 mod console_error;
 mod daemon_client;
--- a/crates/cli/src/console/text_table.rs
+++ b/crates/cli/src/console/text_table.rs
@@ -1,20 +1,21 @@
-/// Rows of text in aligned columns.
+/// Rows of text, printed in aligned columns.
 pub struct TextTable {
     rows: Vec<Vec<String>>,
 }
 
 impl TextTable {
-    /// A table with a heading.
-    pub fn new(heading: &[&str]) -> Self {
-        Self { rows: vec![heading.iter().map(|word| (*word).to_owned()).collect()] }
+    /// Creates a table whose first row is the headings.
+    pub fn new(headings: &[&str]) -> Self {
+        Self { rows: vec![headings.iter().map(|heading| (*heading).to_owned()).collect()] }
     }
 
-    /// Adds a row.
+    /// Appends a row; missing cells at its end stay empty.
     pub fn push(&mut self, row: Vec<String>) {
         self.rows.push(row);
     }
 
-    /// The table as lines.
+    /// Formats one row per line. Columns are as wide as their longest cell and
+    /// separated by two spaces.
     pub fn render(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let widths: Vec<usize> = (0..columns)
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `hawthornstack`, the operators' tool.
+//! `hawthornstack`, the command-line tool for operators.
 
 mod commands;
 mod console;
@@ -7,7 +7,7 @@
 
 fn main() -> ExitCode {
     let arguments: commands::CliArguments = argh::from_env();
-    match commands::run(&arguments) {
+    match commands::run_command(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
--- a/crates/cli/tests/help_texts.rs
+++ b/crates/cli/tests/help_texts.rs
@@ -1,5 +1,5 @@
-//! Guards against a command, an option or a help text of `hawthornstack` that
-//! changes or goes unnoticed.
+//! Guards against commands, options and help texts of `hawthornstack` that are
+//! changed, added or removed by accident.
 
 mod help_pages;
 
--- a/crates/cli/tests/outer_texts.rs
+++ b/crates/cli/tests/outer_texts.rs
@@ -1,5 +1,5 @@
-//! Guards against changed pages, JSON lines, requests and exit codes of the
-//! tool, which people and scripts rely on.
+//! Guards against changes of the tool's text and JSON output, HTTP requests and
+//! exit codes, which operators and scripts rely on.
 
 use std::{
     fs,
@@ -18,7 +18,7 @@
 "hosts":[{"host":1,"peer_address":"127.0.0.1:7432","data_centre":"north","draining":true},
 {"host":2,"peer_address":"127.0.0.1:7433","data_centre":"south","draining":false}]}"#;
 
-const LOST_STATUS: &str = r#"{"host":1,"leader":null,"is_current_leader":false,"has_lease":false,
+const EMPTY_STATUS: &str = r#"{"host":1,"leader":null,"is_current_leader":false,"has_lease":false,
 "version":0,"applied":0,"services":[],"groups":[],"hosts":[]}"#;
 
 const PLAN: &str = r#"{"id":"0123456789ab","base_version":6,"changes":[{"RemoveService":"books"}],
@@ -26,7 +26,7 @@
 
 const EMPTY_PLAN: &str = r#"{"id":"0123456789ab","base_version":6,"changes":[],"steps":[]}"#;
 
-/// The first record of a trail, as the present code sealed it.
+/// An audit trail of one record whose `chain` is valid.
 const AUDIT: &str = r#"[{"sequence":1,"at_unix_ms":1000,"operator":"platform","plan":"routes-5",
 "changes":[{"ReplaceRoutes":5}],"result":"Done",
 "chain":"6f47bebb142fdfdf789cee6de75db9fe05933064a8a3ec60a5b179566a45a3bd"}]"#;
@@ -35,51 +35,54 @@
 const OUTDATED: &str = r#"{"code":501,"text":"why","version":8,"changed_since":["a step","more"]}"#;
 const REFUSED: &str = r#"{"code":503,"text":"why","mend":"how","leader":2}"#;
 
-/// Runs the tool and shows what it prints, and its exit code.
+/// Runs the tool and returns its exit code, output and errors as text.
 fn run(arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_hawthornstack"))
         .args(arguments)
         .env_remove("HAWTHORNSTACK_HOSTS")
         .output()
-        .expect("the tool");
-    let text = |bytes| String::from_utf8(bytes).expect("text");
+        .expect("cannot start hawthornstack");
+    let text = |bytes| String::from_utf8(bytes).expect("output is valid Unicode");
     let (out, error) = (text(output.stdout), text(output.stderr));
-    format!("exit code {}\n-- output\n{out}-- errors\n{error}", output.status.code().expect("one"))
+    format!(
+        "exit code {}\n-- output\n{out}-- errors\n{error}",
+        output.status.code().expect("no exit code")
+    )
 }
 
-/// Takes one request, answers it and returns its first line and its body.
-fn take_request(listener: &TcpListener, answer: &str) -> String {
-    let (mut stream, _) = listener.accept().expect("a connection");
-    let mut taken = Vec::new();
-    while !is_whole(&taken) {
+/// Accepts one HTTP request, answers it and returns its first line and its body.
+fn answer_request(listener: &TcpListener, answer: &str) -> String {
+    let (mut stream, _) = listener.accept().expect("cannot accept a connection");
+    let mut received = Vec::new();
+    while !is_complete(&received) {
         let mut part = [0; 1_024];
-        let read = stream.read(&mut part).expect("a request");
+        let read = stream.read(&mut part).expect("cannot read the request");
         assert_ne!(read, 0, "the request ended early");
-        taken.extend_from_slice(&part[..read]);
+        received.extend_from_slice(&part[..read]);
     }
     let head = format!("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {}", answer.len());
-    write!(stream, "{head}\r\n\r\n{answer}").expect("sent");
-    let taken = String::from_utf8(taken).expect("text");
-    let (head, body) = taken.split_once("\r\n\r\n").expect("a head");
+    write!(stream, "{head}\r\n\r\n{answer}").expect("cannot send the answer");
+    let request = String::from_utf8(received).expect("the request is valid Unicode");
+    let (head, body) = request.split_once("\r\n\r\n").expect("the request has a head");
     format!("{} {body}", head.lines().next().unwrap_or_default()).trim_end().to_owned()
 }
 
-/// Bodies of the tool are JSON; only POST has one.
-fn is_whole(taken: &[u8]) -> bool {
-    let Some(end) = taken.windows(4).position(|four| four == b"\r\n\r\n") else {
+/// True if a request was received in full. Only POST has a body, which is JSON.
+fn is_complete(received: &[u8]) -> bool {
+    let Some(end) = received.windows(4).position(|bytes| bytes == b"\r\n\r\n") else {
         return false;
     };
-    let body = &taken[end + 4..];
-    !taken.starts_with(b"POST") || serde_json::from_slice::<serde_json::Value>(body).is_ok()
+    let body = &received[end + 4..];
+    !received.starts_with(b"POST") || serde_json::from_slice::<serde_json::Value>(body).is_ok()
 }
 
-/// Runs the tool against a daemon that answers one request.
+/// Runs the tool against a server that gives `answer` to one request.
 fn run_with(arguments: &[&str], answer: &'static str) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-    let address = listener.local_addr().expect("an address").to_string();
-    let server = thread::spawn(move || take_request(&listener, answer));
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot listen on a local port");
+    let address = listener.local_addr().expect("no local address").to_string();
+    let server = thread::spawn(move || answer_request(&listener, answer));
     let printed = run(&[&["--hosts", &address], arguments].concat());
-    let request = server.join().expect("a request");
+    let request = server.join().expect("the server failed");
     format!("==== {}\n-- request\n{request}\n{printed}\n", arguments.join(" "))
 }
 
@@ -91,11 +94,11 @@
 fn status_pages() {
     let cases: [(&[&str], &str); 8] = [
         (&["status"], STATUS),
-        (&["status"], LOST_STATUS),
+        (&["status"], EMPTY_STATUS),
         (&["services"], STATUS),
         (&["upstreams"], STATUS),
         (&["hosts"], STATUS),
-        (&["hosts"], LOST_STATUS),
+        (&["hosts"], EMPTY_STATUS),
         (&["hosts"], REFUSED),
         (&["--json", "status"], STATUS),
     ];
@@ -153,28 +156,28 @@
         &["explain", "201"],
         &["explain", "999"],
         &["plan", "drain", "no name"],
-        // Nobody listens on the port for discarded data.
+        // Nothing listens on the port of the discard protocol.
         &["--hosts", "127.0.0.1:9, 127.0.0.1:9", "status"],
     ];
     let shown = cases.map(|arguments| format!("==== {}\n{}", arguments.join(" "), run(arguments)));
     insta::assert_snapshot!("without_daemon", shown.join("\n"));
 }
 
-fn log_file() -> PathBuf {
+fn write_log_file() -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("outer-entry-1.log");
     let lines = [
         r#"{"timestamp":"2026-01-01T00:00:01.0Z","level":"INFO","message":"routed","request":"5c0e","instance":"i-1@7","empty":"","count":3,"target":"request"}"#,
         r#"10.0 core-a {"timestamp":"2026-01-01T00:00:02.0Z","level":"INFO","message":"term","service":"books","target":"control"}"#,
         r#"{"timestamp":"2026-01-01T00:00:03.0Z","level":"INFO","message":"answered","request":"5c0e","outcome":"served","target":"request"}"#,
     ];
-    fs::write(&path, lines.join("\n")).expect("a log");
+    fs::write(&path, lines.join("\n")).expect("cannot write the log file");
     path
 }
 
 #[test]
 fn timelines() {
-    let path = log_file();
-    let path = path.to_str().expect("a path");
+    let path = write_log_file();
+    let path = path.to_str().expect("the path is valid Unicode");
     let text = run(&["trace-request", "5c0e", path]);
     let json = run(&["--json", "trace-request", "5c0e", path]);
     let unknown = run(&["trace-request", "ffff", path]).replace(path, "FILE");
--- a/crates/cli/tests/request_timeline.rs
+++ b/crates/cli/tests/request_timeline.rs
@@ -1,11 +1,12 @@
-//! `trace-request` follows one id through the logs of many hosts.
+//! `trace-request` selects and sorts the log lines about one request from the log
+//! files of several hosts.
 
 use std::{fs, path::PathBuf, process::Command};
 
-fn log(name: &str, lines: &[&str]) -> PathBuf {
+fn write_log(name: &str, lines: &[&str]) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = folder.join(format!("{name}.log"));
-    fs::write(&path, lines.join("\n")).expect("a log");
+    fs::write(&path, lines.join("\n")).expect("cannot write the log file");
     path
 }
 
@@ -14,15 +15,16 @@
         .args(arguments)
         .args(files)
         .output()
-        .expect("the tool");
+        .expect("cannot start hawthornstack");
     let text = [output.stdout, output.stderr].concat();
-    (output.status.success(), String::from_utf8(text).expect("text"))
+    (output.status.success(), String::from_utf8(text).expect("output is valid Unicode"))
 }
 
-/// Each test has files of its own, since tests run at the same time.
-fn logs(test: &str) -> Vec<PathBuf> {
+/// Writes the log of an entry host and a file of a log collector. Each test has
+/// its own files, since tests run at the same time.
+fn write_logs(test: &str) -> Vec<PathBuf> {
     vec![
-        log(
+        write_log(
             &format!("{test}-entry-1"),
             &[
                 r#"{"timestamp":"2026-01-01T00:00:01.0Z","message":"routed","request":"5c0e","instance":"i-1@7","target":"request"}"#,
@@ -31,7 +33,7 @@
                 "words that are no JSON {",
             ],
         ),
-        log(
+        write_log(
             &format!("{test}-collected"),
             &[
                 r#"12.3 core-a {"timestamp":"2026-01-01T00:00:02.5Z","message":"term","service":"books","target":"control"}"#,
@@ -43,7 +45,7 @@
 
 #[test]
 fn decisions_are_shown_in_order() {
-    let (good, text) = run(&["trace-request", "5c0e"], &logs("order"));
+    let (good, text) = run(&["trace-request", "5c0e"], &write_logs("order"));
     assert!(good, "{text}");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 4, "{text}");
@@ -54,16 +56,16 @@
 
 #[test]
 fn json_has_the_same_lines() {
-    let (good, text) = run(&["--json", "trace-request", "5c0e"], &logs("json"));
+    let (good, text) = run(&["--json", "trace-request", "5c0e"], &write_logs("json"));
     assert!(good, "{text}");
-    let timeline: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+    let timeline: serde_json::Value = serde_json::from_str(&text).expect("output is JSON");
     assert_eq!(timeline["lines"].as_array().map(Vec::len), Some(3));
     assert_eq!(timeline["lines"][0]["is_request"], true);
 }
 
 #[test]
-fn unknown_request_is_said_so() {
-    let (good, text) = run(&["trace-request", "0000"], &logs("unknown"));
+fn unknown_request_is_reported() {
+    let (good, text) = run(&["trace-request", "0000"], &write_logs("unknown"));
     assert!(!good);
     assert!(text.contains("no line names the request 0000"), "{text}");
 }
