--- a/crates/decisions/src/failover/database_order.rs
+++ b/crates/decisions/src/failover/database_order.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What control tells a database to do. Each order is idempotent and answered
-/// with the database's status.
+/// An order of the control leader to a database. Every order is idempotent; the
+/// database answers it with its status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DatabaseOrder {
-    /// Change nothing; only report.
+    /// Change nothing and return the status.
     Report,
     /// Refuse writes and log entries of terms below `term`.
     Fence {
@@ -15,13 +15,13 @@
     },
     /// Become primary of `term`.
     Promote {
-        /// The term.
+        /// Term that the database starts as primary.
         term: u64,
     },
-    /// Replicate from the primary of `term`, dropping a tail that is not on
-    /// its branch.
+    /// Replicate from the primary of `term`, after truncating the log entries
+    /// that are not on its branch.
     Follow {
-        /// The term.
+        /// Term of the primary.
         term: u64,
         /// Address of the primary.
         primary: SocketAddr,
--- a/crates/decisions/src/failover/mod.rs
+++ b/crates/decisions/src/failover/mod.rs
@@ -1,4 +1,5 @@
-//! Change of primary: who is suspected, who is fenced, who is promoted.
+//! Failover of a group: suspicion of its primary, fencing of the old term and
+//! promotion of a successor.
 
 mod database_order;
 mod primary_change;
--- a/crates/decisions/src/failover/suspicion_table.rs
+++ b/crates/decisions/src/failover/suspicion_table.rs
@@ -7,7 +7,7 @@
     leases::LeaseTable,
 };
 
-/// How long a host's suspicion counts.
+/// Time after which a suspicion that was not repeated expires.
 const SUSPICION_LIFETIME: Duration = Duration::from_millis(400);
 
 #[derive(Debug)]
@@ -16,35 +16,35 @@
     at: Moment,
 }
 
-/// Which hosts suspect which primaries, as their leader hears it.
+/// Suspicions of primaries that hosts reported to the control leader.
 #[derive(Debug, Default)]
 pub struct SuspicionTable {
     suspicions: BTreeMap<(GroupName, HostId), Suspicion>,
 }
 
 impl SuspicionTable {
-    /// Notes that a host cannot reach the primary of `term`.
+    /// Records that a host cannot reach the primary of `term`.
     pub fn record(&mut self, now: Moment, group: &GroupName, term: u64, host: HostId) {
         let suspicion = Suspicion { term, at: now };
         self.suspicions.insert((group.clone(), host), suspicion);
     }
 
-    /// Drops what no longer counts; true if anything is left.
+    /// Drops expired suspicions; returns true if any remain.
     pub fn prune(&mut self, now: Moment) -> bool {
         self.suspicions.retain(|_, suspicion| now.since(suspicion.at) < SUSPICION_LIFETIME);
         !self.suspicions.is_empty()
     }
 
-    /// True if a majority of the group's live gateways suspects the primary of
-    /// the record's term, so that one host's broken path is not enough.
+    /// True if a majority of the gateways with a live lease suspects the primary
+    /// of the record's term. One host's broken network path is not enough.
     pub fn is_confirmed(&self, now: Moment, record: &GroupRecord, leases: &LeaseTable) -> bool {
-        let live = record.gateways.iter().filter(|home| leases.has_live_lease(now, **home));
+        let live = record.gateways.iter().filter(|gateway| leases.has_live_lease(now, **gateway));
         let needed = live.clone().count() / 2 + 1;
-        live.filter(|home| self.suspects(now, record, **home)).count() >= needed
+        live.filter(|gateway| self.has_suspicion(now, record, **gateway)).count() >= needed
     }
 
-    fn suspects(&self, now: Moment, record: &GroupRecord, home: HostId) -> bool {
-        let suspicion = self.suspicions.get(&(record.name.clone(), home));
+    fn has_suspicion(&self, now: Moment, record: &GroupRecord, gateway: HostId) -> bool {
+        let suspicion = self.suspicions.get(&(record.name.clone(), gateway));
         suspicion.is_some_and(|suspicion| {
             suspicion.term == record.term && now.since(suspicion.at) < SUSPICION_LIFETIME
         })
