--- a/crates/decisions/src/pg_host/control_flow.rs
+++ b/crates/decisions/src/pg_host/control_flow.rs
@@ -9,33 +9,33 @@
     sessions::{PositionStore, rank_hosts},
 };
 
-/// Commands kept for subscribers that are a little behind.
-const RECENT_COMMANDS: usize = 4_096;
-/// Commands sent to a subscriber in one message.
-const UPDATE_COMMANDS: usize = 512;
-/// Time between a subscriber's questions.
+/// Number of applied commands kept for subscribers that lack some of them.
+const MAX_RECENT_COMMANDS: usize = 4_096;
+/// Maximum number of commands in one message to a subscriber.
+const MAX_UPDATE_COMMANDS: usize = 512;
+/// Interval at which a subscriber repeats its request.
 const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Silence after which a subscriber turns to another voter.
+/// Silence of a voter after which a subscriber switches to another one.
 const SUBSCRIPTION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time for which a subscriber gets updates after its last question.
+/// Time for which a subscriber gets updates after its last request.
 const SUBSCRIBER_LIFETIME: Duration = Duration::from_secs(5);
 
 /// A host that gets updates from this voter.
 #[derive(Debug)]
 pub(super) struct Subscriber {
     next_index: u64,
-    heard_at: Moment,
+    last_request_at: Moment,
 }
 
 impl HostState {
     pub(super) fn step_agreement(&mut self, now: Moment, event: AgreementEvent) {
         if let Some(agreement) = &mut self.agreement {
             let effects = agreement.step(now, event);
-            self.carry_out(now, effects);
+            self.apply_agreement_effects(now, effects);
         }
     }
 
-    fn carry_out(&mut self, now: Moment, effects: Vec<AgreementEffect>) {
+    fn apply_agreement_effects(&mut self, now: Moment, effects: Vec<AgreementEffect>) {
         let mut applied = false;
         for effect in effects {
             match effect {
@@ -49,15 +49,16 @@
                     applied = true;
                     let command = match payload {
                         EntryPayload::Command(command) => command,
-                        // Keeps the subscribers' count of entries whole.
+                        // A command without effect keeps the indexes contiguous for
+                        // subscribers, which get no voter changes.
                         EntryPayload::Voters { .. } => ControlCommand::LeaderElected,
                     };
-                    self.apply(now, index, command);
+                    self.apply_command(now, index, command);
                 }
                 AgreementEffect::Installed(snapshot) => {
                     let mut state = snapshot.state;
                     state.applied = state.applied.max(snapshot.index);
-                    self.replace_control(now, state);
+                    self.replace_control_state(now, state);
                 }
                 AgreementEffect::Elected(term) => self.start_leading(now, term),
                 AgreementEffect::SteppedDown => self.stop_leading(),
@@ -71,45 +72,45 @@
         }
         if applied {
             self.update_subscribers(now);
-            self.compact(now);
+            self.compact_log(now);
         }
     }
 
-    fn compact(&mut self, now: Moment) {
+    fn compact_log(&mut self, now: Moment) {
         if let Some(agreement) = &mut self.agreement {
             let effects = agreement.compact(&self.control, self.control.applied);
             if !effects.is_empty() {
-                self.carry_out(now, effects);
+                self.apply_agreement_effects(now, effects);
             }
         }
     }
 
-    /// Commits a command if this host leads.
+    /// Proposes a command; returns false if this host cannot propose it.
     pub(super) fn propose(&mut self, now: Moment, command: ControlCommand) -> bool {
         let Some(agreement) = &mut self.agreement else {
             return false;
         };
         match agreement.propose(now, command) {
             Ok((_, effects)) => {
-                self.carry_out(now, effects);
+                self.apply_agreement_effects(now, effects);
                 true
             }
             Err(_) => false,
         }
     }
 
-    fn apply(&mut self, now: Moment, index: u64, command: ControlCommand) {
+    fn apply_command(&mut self, now: Moment, index: u64, command: ControlCommand) {
         if index != self.control.applied + 1 {
             return;
         }
         let hosts_version = self.control.hosts_version;
         self.control.apply(index, &command);
-        self.recent.push_back(command.clone());
-        if self.recent.len() > RECENT_COMMANDS {
-            self.recent.pop_front();
+        self.recent_commands.push_back(command.clone());
+        if self.recent_commands.len() > MAX_RECENT_COMMANDS {
+            self.recent_commands.pop_front();
         }
         match &command {
-            // Hosts that are configured by number have no part in these.
+            // Commands of `hawthornstack-platform`, which concern no database group.
             ControlCommand::RoutesReplaced { .. }
             | ControlCommand::InstanceSeen(_)
             | ControlCommand::InstanceGone(_)
@@ -122,7 +123,7 @@
             ControlCommand::LeaderElected | ControlCommand::PlanMade(_) => {}
             ControlCommand::HostJoined(HostRecord { id, .. }) | ControlCommand::HostLeft(id) => {
                 if self.control.hosts_version != hosts_version {
-                    self.marks.remove_moved(*id);
+                    self.positions.remove_moved(*id);
                 }
             }
             ControlCommand::GroupFormed(record) => self.refresh_group(now, &record.name),
@@ -139,66 +140,69 @@
                 self.answer_confirmations(&request.clone());
             }
         }
-        self.leader_applied(now, &command);
+        self.update_leader_state(now, &command);
     }
 
-    /// Takes a whole configuration, unless it is older than the one in force.
-    pub(super) fn replace_control(&mut self, now: Moment, state: ControlState) {
-        self.subscription.heard_at = now;
+    /// Replaces the whole configuration if the given one is newer.
+    pub(super) fn replace_control_state(&mut self, now: Moment, state: ControlState) {
+        self.subscription.last_message_at = now;
         if state.applied > self.control.applied {
             self.control = state;
-            // Which hosts came and went in between is not known.
-            self.marks = PositionStore::default();
-            self.recent.clear();
+            // The hosts that joined or left in between are not known, so newer
+            // positions may have gone to other position hosts.
+            self.positions = PositionStore::default();
+            self.recent_commands.clear();
             self.refresh_groups(now);
         }
     }
 
-    // Distribution to hosts that do not vote.
+    // Distribution of the configuration to non-voters.
 
-    pub(super) fn tend_subscription(&mut self, now: Moment) {
-        if self.agreement.is_some() || now.since(self.subscription.asked_at) < SUBSCRIBE_INTERVAL {
+    pub(super) fn renew_subscription(&mut self, now: Moment) {
+        if self.agreement.is_some()
+            || now.since(self.subscription.last_request_at) < SUBSCRIBE_INTERVAL
+        {
             return;
         }
-        if now.since(self.subscription.heard_at) > SUBSCRIPTION_TIMEOUT {
-            self.subscription.rank += 1;
-            self.subscription.heard_at = now;
+        if now.since(self.subscription.last_message_at) > SUBSCRIPTION_TIMEOUT {
+            self.subscription.voter_rank += 1;
+            self.subscription.last_message_at = now;
         }
-        self.subscription.asked_at = now;
+        self.subscription.last_request_at = now;
         let key = self.settings.id().0.to_be_bytes();
         let ranked = rank_hosts(&key, self.settings.voters.iter().copied());
-        let voter = ranked.get(self.subscription.rank % ranked.len().max(1));
+        let voter = ranked.get(self.subscription.voter_rank % ranked.len().max(1));
         if let Some(voter) = voter.copied() {
             let applied = self.control.applied;
             self.send(voter, PeerMessage::Subscribe { applied });
         }
     }
 
-    pub(super) fn subscribed(&mut self, now: Moment, from: HostId, applied: u64) {
-        let subscriber = Subscriber { next_index: applied + 1, heard_at: now };
+    pub(super) fn handle_subscribe(&mut self, now: Moment, from: HostId, applied: u64) {
+        let subscriber = Subscriber { next_index: applied + 1, last_request_at: now };
         self.subscribers.insert(from, subscriber);
         self.update_subscriber(from, true);
     }
 
     fn update_subscribers(&mut self, now: Moment) {
         self.subscribers
-            .retain(|_, subscriber| now.since(subscriber.heard_at) < SUBSCRIBER_LIFETIME);
+            .retain(|_, subscriber| now.since(subscriber.last_request_at) < SUBSCRIBER_LIFETIME);
         let hosts: Vec<HostId> = self.subscribers.keys().copied().collect();
         for host in hosts {
             self.update_subscriber(host, false);
         }
     }
 
-    /// Sends what a subscriber lacks; an answer to its question even if that
-    /// is nothing.
-    fn update_subscriber(&mut self, host: HostId, answer: bool) {
+    /// Sends the commands that a subscriber lacks. A reply to its request is sent
+    /// even if there are none.
+    fn update_subscriber(&mut self, host: HostId, is_reply: bool) {
         let applied = self.control.applied;
-        let oldest = applied + 1 - self.recent.len() as u64;
+        let oldest = applied + 1 - self.recent_commands.len() as u64;
         let Some(subscriber) = self.subscribers.get_mut(&host) else {
             return;
         };
         let next = subscriber.next_index;
-        if next > applied && !answer {
+        if next > applied && !is_reply {
             return;
         }
         subscriber.next_index = applied + 1;
@@ -206,7 +210,8 @@
             PeerMessage::State(Box::new(self.control.clone()))
         } else {
             let skipped = (next - oldest) as usize;
-            let commands = self.recent.iter().skip(skipped).take(UPDATE_COMMANDS).cloned();
+            let commands =
+                self.recent_commands.iter().skip(skipped).take(MAX_UPDATE_COMMANDS).cloned();
             let commands: Vec<ControlCommand> = commands.collect();
             subscriber.next_index = next + commands.len() as u64;
             PeerMessage::Updates { first_index: next, commands }
@@ -214,7 +219,7 @@
         self.send(host, message);
     }
 
-    pub(super) fn updated(
+    pub(super) fn apply_updates(
         &mut self,
         now: Moment,
         _from: HostId,
@@ -224,9 +229,9 @@
         if self.agreement.is_some() {
             return;
         }
-        self.subscription.heard_at = now;
+        self.subscription.last_message_at = now;
         for (index, command) in (first_index..).zip(commands) {
-            self.apply(now, index, command);
+            self.apply_command(now, index, command);
         }
     }
 
--- a/crates/decisions/src/pg_host/gateway_flow.rs
+++ b/crates/decisions/src/pg_host/gateway_flow.rs
@@ -9,7 +9,8 @@
 };
 
 impl HostState {
-    /// Tells the daemon when an operator drains this host or takes it back.
+    /// Emits `SetDraining` when an operator starts or ends the draining of this
+    /// host.
     fn refresh_draining(&mut self) {
         let record = self.control.hosts.get(&self.settings.id());
         let draining = record.is_some_and(|record| record.draining);
@@ -28,23 +29,23 @@
         }
     }
 
-    /// Brings this home's view of a group in line with the configuration.
+    /// Updates this gateway's view of a group from the applied configuration.
     pub(super) fn refresh_group(&mut self, now: Moment, name: &GroupName) {
         let me = self.settings.id();
         let declared = self.control.is_declared(name);
         let record = self.control.groups.get(name).filter(|_| declared).cloned();
         let Some(record) = record else {
-            return self.leave_group(now, name);
+            return self.remove_group(now, name);
         };
-        let is_home = record.gateways.contains(&me);
-        if !is_home && !self.groups.contains_key(name) {
+        let is_gateway = record.gateways.contains(&me);
+        if !is_gateway && !self.groups.contains_key(name) {
             return;
         }
         let max_waiting =
             self.control.declaration_of(name).map_or(0, |declared| declared.max_waiting);
         let view =
             self.groups.entry(name.clone()).or_insert_with(|| GroupView::new(now, record.clone()));
-        view.retiring = !is_home;
+        view.retiring = !is_gateway;
         let new_term = view.record.term != record.term;
         let phase_changed = view.record.phase != record.phase;
         view.record = record;
@@ -59,38 +60,38 @@
             view.leader_notified_at = Moment::ZERO;
         }
         self.refresh_databases(name);
-        self.tend_group(now, name);
-        self.pump(now, name);
+        self.notify_leader(now, name);
+        self.dispatch_waiting(now, name);
         self.confirm_writes(now, name);
-        self.retire(now, name);
+        self.retire_group(now, name);
     }
 
-    /// Ends this host's part as a home that another one replaced: what waits
-    /// goes to the homes of now, what runs finishes here.
-    pub(super) fn retire(&mut self, now: Moment, name: &GroupName) {
+    /// Retires this host as a gateway that another one replaced: requests that
+    /// wait go to the current gateways, requests that run finish here.
+    pub(super) fn retire_group(&mut self, now: Moment, name: &GroupName) {
         let Some(view) = self.groups.get(name).filter(|view| view.retiring) else {
             return;
         };
         let waiting: Vec<RequestId> = view.writes.iter().chain(view.reads.iter()).collect();
         for request in waiting {
-            self.hand_over(now, request);
+            self.hand_over_request(now, request);
         }
         let busy = self.requests.values().any(|record| record.arrival.group == *name);
         if !busy {
-            self.leave_group(now, name);
+            self.remove_group(now, name);
         }
     }
 
-    /// Hands a request that did not run to a home, or back to the host that
-    /// forwarded it.
-    fn hand_over(&mut self, now: Moment, request: RequestId) {
+    /// Forwards a request that has not run to a gateway. A request that another
+    /// host forwarded goes back to it with `NoDatabase`.
+    fn hand_over_request(&mut self, now: Moment, request: RequestId) {
         let arrival = self.requests.get(&request).map(|record| record.arrival.clone());
-        match arrival.and_then(|arrival| self.forward_homes(&arrival)) {
-            Some(homes) => {
-                self.forget(request);
-                self.effects.push(HostEffect::Forward(request, homes));
+        match arrival.and_then(|arrival| self.choose_forward_gateways(&arrival)) {
+            Some(gateways) => {
+                self.remove_request(request);
+                self.effects.push(HostEffect::Forward(request, gateways));
             }
-            None => self.conclude(now, request, ResultCode::NoDatabase, None),
+            None => self.complete_request(now, request, ResultCode::NoDatabase, None),
         }
     }
 
@@ -126,18 +127,19 @@
         }
     }
 
-    /// Drops the view of a group with which this host has nothing to do.
-    fn leave_group(&mut self, now: Moment, name: &GroupName) {
+    /// Removes the view of a group that this host no longer serves, and ends the
+    /// requests that wait for a database or for a majority of the group.
+    fn remove_group(&mut self, now: Moment, name: &GroupName) {
         let Some(view) = self.groups.remove(name) else {
             return;
         };
         let unconfirmed = view.unconfirmed.iter().map(|write| write.request);
         let waiting = view.writes.iter().chain(view.reads.iter());
         for request in waiting {
-            self.conclude(now, request, ResultCode::NoDatabase, None);
+            self.complete_request(now, request, ResultCode::NoDatabase, None);
         }
         for request in unconfirmed {
-            self.conclude(now, request, ResultCode::MajorityLate, None);
+            self.complete_request(now, request, ResultCode::MajorityLate, None);
         }
         let databases: Vec<DatabaseName> = view.databases.into_keys().collect();
         for database in databases {
--- a/crates/decisions/src/pg_host/group_view.rs
+++ b/crates/decisions/src/pg_host/group_view.rs
@@ -12,50 +12,51 @@
     requests::FairQueue,
 };
 
-/// A write that waits for a majority; ordered by position.
+/// A committed write that waits until a majority holds it; ordered by position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnconfirmedWrite {
     /// Position of the write.
     pub position: LogPosition,
-    /// The request.
+    /// The request that is answered then.
     pub request: RequestId,
 }
 
-/// What a gateway knows of one group.
+/// A gateway's view of one group.
 #[derive(Debug)]
 pub struct GroupView {
     /// The committed record, as last applied here.
     pub record: GroupRecord,
-    /// Other gateways replaced this host; it only finishes what runs.
+    /// This host is no longer a gateway of the group and only finishes the
+    /// requests that run.
     pub retiring: bool,
-    /// The databases that may be used or watched.
+    /// The databases that count for the majority or accept work.
     pub databases: BTreeMap<DatabaseName, DatabaseView>,
-    /// What the primary was seen to hold.
+    /// Positions that the primary reported in the record's term.
     pub samples: PrimarySamples,
     /// Writes that wait for the primary.
     pub writes: FairQueue,
     /// Reads that wait for a database.
     pub reads: FairQueue,
-    /// Writes that wait for a majority, by position.
+    /// Committed writes that wait for a majority, by position.
     pub unconfirmed: BTreeSet<UnconfirmedWrite>,
     /// When the primary last reported in its term.
     pub primary_reported_at: Moment,
-    /// Failures to reach the primary since then.
+    /// Failed status queries to the primary since then.
     pub primary_failures: u32,
     /// Highest position that a majority was seen to hold.
     pub majority_position: LogPosition,
-    /// When that last moved, or was level with the primary.
+    /// When `majority_position` last advanced or was level with the primary.
     pub majority_moved_at: Moment,
-    /// Result of a full queue for this group.
+    /// Number of waiting requests at which further ones are refused.
     pub max_waiting: usize,
-    /// When the leader was last told of members.
+    /// When the last `MemberReport` was sent to the leader.
     pub members_reported_at: Moment,
-    /// When the leader was last notified of a suspicion or a fence.
+    /// When the last `SuspectPrimary` or `TermFenced` was sent to the leader.
     pub leader_notified_at: Moment,
 }
 
 impl GroupView {
-    /// A group of which nothing was heard yet.
+    /// Creates the view of a group whose databases have not reported yet.
     pub fn new(now: Moment, record: GroupRecord) -> Self {
         Self {
             record,
@@ -86,7 +87,7 @@
     }
 
     /// True if `position` is held by a majority of the counting databases, and
-    /// by one of those that will remain once the draining ones have left.
+    /// by a majority of those that remain once the draining ones have left.
     pub fn is_held_by_majority(&self, position: LogPosition) -> bool {
         let counting: Vec<&MemberRecord> = self.record.counting_members().collect();
         let staying: Vec<&MemberRecord> = counting
@@ -103,11 +104,13 @@
         holders.count() > members.len() / 2
     }
 
-    /// The primary holds what it wrote itself, before it next reports.
+    /// True if the member holds `position`. The primary holds its own writes of
+    /// the term even before it next reports.
     fn holds(&self, member: &MemberRecord, position: LogPosition) -> bool {
-        let wrote = member.database == self.record.primary && position.term == self.record.term;
+        let is_own_write =
+            member.database == self.record.primary && position.term == self.record.term;
         let view = self.databases.get(&member.database);
-        wrote || view.is_some_and(|view| view.covers(position))
+        is_own_write || view.is_some_and(|view| view.covers(position))
     }
 
     /// The primary's position in its last report of the term in force.
@@ -127,27 +130,27 @@
         times.min().unwrap_or(Duration::ZERO)
     }
 
-    /// Time that a request which arrives now would wait, from the requests
-    /// before it and the pace of the databases that serve them.
+    /// Expected wait of a request that arrives now: the requests queued before
+    /// it, divided by the service rate of the databases that serve them.
     pub fn expected_wait(&self, is_write: bool) -> Duration {
         let serving = self.databases.values().filter(|view| match is_write {
             true => view.record.database == self.record.primary,
             false => view.record.accepts_work(),
         });
-        let pace: f64 = serving
+        let requests_per_second: f64 = serving
             .map(|view| {
                 f64::from(view.connection_share.min(view.record.slots))
                     / view.service_time().as_secs_f64().max(1e-6)
             })
             .sum();
-        let ahead = if is_write { self.writes.len() } else { self.waiting_count() };
-        match pace > 0.0 {
-            true => Duration::from_secs_f64((ahead as f64 / pace).min(3_600.0)),
+        let queued = if is_write { self.writes.len() } else { self.waiting_count() };
+        match requests_per_second > 0.0 {
+            true => Duration::from_secs_f64((queued as f64 / requests_per_second).min(3_600.0)),
             false => Duration::ZERO,
         }
     }
 
-    /// Requests that wait for a database.
+    /// Number of requests that wait for a database.
     pub fn waiting_count(&self) -> usize {
         self.writes.len() + self.reads.len()
     }
--- a/crates/decisions/src/pg_host/host_effect.rs
+++ b/crates/decisions/src/pg_host/host_effect.rs
@@ -9,86 +9,88 @@
     positions::LogPosition,
 };
 
-/// A gateway and where it accepts forwarded requests.
+/// A gateway and the address at which it accepts forwarded requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewayAddress {
-    /// The gateway.
+    /// Number of the gateway.
     pub host: HostId,
-    /// Where it accepts callers.
+    /// Its address for callers, which forwarded requests use too.
     pub address: SocketAddr,
 }
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestResult {
-    /// How it ended.
+    /// Result code for the caller.
     pub result: ResultCode,
-    /// The session's position from now on, if it changed.
+    /// New position of the session; `None` if it did not change.
     pub session_position: Option<LogPosition>,
-    /// When a refused request has a chance again.
+    /// Expected wait of the queue, if the request was refused because it is full.
     pub retry_after: Option<Duration>,
 }
 
-/// Output of a host, in the order in which it must be carried out.
+/// Output of `HostState::step`; the effects must be executed in order.
 #[derive(Debug, Clone)]
 pub enum HostEffect {
     /// Send a message to another host.
     Send(HostId, PeerMessage),
-    /// Append records to the journal, sync, then report the number.
+    /// Append records to the journal, sync it, then return the number in
+    /// `HostEvent::Persisted`.
     Persist {
-        /// Number to report back.
+        /// Number of these records, to be returned.
         number: u64,
         /// Records in order.
         records: Vec<JournalRecord>,
     },
-    /// Keep asking a database for its report.
+    /// Start polling a database for its status.
     Watch {
         /// The database.
         database: DatabaseName,
-        /// Where it is.
+        /// Where it accepts PostgreSQL connections.
         address: SocketAddr,
     },
-    /// Stop asking, and close idle connections to it.
+    /// Stop polling a database and close idle connections to it.
     Unwatch(DatabaseName),
-    /// Give an order to a database and report its answer.
+    /// Send an order to a database and return its answer in
+    /// `HostEvent::OrderAnswered`.
     Order {
         /// The database.
         database: DatabaseName,
-        /// Where it is.
+        /// Where it accepts PostgreSQL connections.
         address: SocketAddr,
         /// The order.
         order: DatabaseOrder,
     },
-    /// The request may use a connection to this database.
+    /// Execute a request on a connection to this database.
     Dispatch {
         /// The request.
         request: RequestId,
         /// The database.
         database: DatabaseName,
-        /// Where it is.
+        /// Where it accepts PostgreSQL connections.
         address: SocketAddr,
         /// The database is the group's primary.
         is_primary: bool,
     },
-    /// This host is no gateway of the request's group: one of these is to run it,
-    /// the nearest first. The request is over here.
+    /// Forward a request to one of these gateways, nearest first. This host is
+    /// not a gateway of the request's group and no longer tracks the request.
     Forward(RequestId, Vec<GatewayAddress>),
-    /// The request is over.
+    /// Return the result of a request, which is finished.
     Complete(RequestId, RequestResult),
-    /// Answer to an operator's question.
+    /// Return the answer to an operator's question.
     Answer {
         /// Number of the question.
         ticket: u64,
         /// The answer.
         answer: OperatorAnswer,
     },
-    /// An operator drains this host, or takes it back.
+    /// An operator started (true) or ended (false) the draining of this host.
     SetDraining(bool),
     /// An announcement was refused.
     AnnouncementRefused {
         /// The database.
         database: DatabaseName,
-        /// Why.
+        /// Reason for the refusal.
         result: ResultCode,
     },
     /// Write an event to the log.
--- a/crates/decisions/src/pg_host/host_event.rs
+++ b/crates/decisions/src/pg_host/host_event.rs
@@ -7,44 +7,44 @@
     requests::RequestArrival,
 };
 
-/// What became of a request at its database.
+/// How the execution of a request at its database ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionReport {
-    /// A read ran; the database stood at this position after it, if asked.
+    /// A read ran; holds the database's position after it, if that was queried.
     Read(Option<LogPosition>),
     /// A write committed at or before this position.
     Written(LogPosition),
-    /// A transaction was rolled back, or ended without an answer to give.
+    /// A transaction was rolled back, or ended without a result for its caller.
     RolledBack,
-    /// Nothing ran at the database, and nothing will.
+    /// The request did not run at the database and will not.
     NotRun,
-    /// The connection was lost; it may have run.
+    /// The connection was lost; the request may have run.
     ConnectionLost,
 }
 
-/// Input of a host.
+/// Input of `HostState::step`.
 #[derive(Debug, Clone)]
 pub enum HostEvent {
-    /// Time passed.
+    /// The periodic timer fired.
     Tick,
     /// This host is about to shut down.
     Leaving,
     /// Another host sent a message.
     Peer(HostId, PeerMessage),
-    /// Journal records up to this number are synced.
+    /// The records of all `HostEffect::Persist` up to this number are synced.
     Persisted(u64),
-    /// An upstream announced itself here.
+    /// An upstream announced itself to this host.
     Announced(Announcement),
-    /// A database reported; the question was sent at the given time.
+    /// A database answered a status query.
     DatabaseReported {
         /// The database.
         database: DatabaseName,
-        /// When the question was sent.
+        /// When the query was sent.
         sent_at: Moment,
-        /// The report.
+        /// The status that it returned.
         status: DatabaseStatus,
     },
-    /// A database could not be reached for its report.
+    /// A status query to a database failed.
     ReportFailed(DatabaseName),
     /// A database answered an order.
     OrderAnswered {
@@ -53,13 +53,13 @@
         /// Its status after the order.
         status: DatabaseStatus,
     },
-    /// A request needs a database.
+    /// A request needs a connection to a database.
     RequestArrived(RequestArrival),
-    /// A request no longer uses its connection.
+    /// A dispatched request no longer uses its connection.
     RequestExecuted(RequestId, ExecutionReport),
-    /// The caller of a request is gone.
+    /// The caller of a request no longer waits for it.
     RequestAbandoned(RequestId),
-    /// An operator asks.
+    /// An operator sent a question to this host.
     OperatorAsked {
         /// Number of the question on this host.
         ticket: u64,
--- a/crates/decisions/src/pg_host/host_settings.rs
+++ b/crates/decisions/src/pg_host/host_settings.rs
@@ -2,28 +2,28 @@
 
 use crate::{control_state::HostRecord, identity::HostId};
 
-/// Times and identity of one host.
+/// Identity and timing of one host.
 #[derive(Debug, Clone)]
 pub struct HostSettings {
-    /// This host's facts, as control keeps them.
+    /// This host's record in the replicated configuration.
     pub record: HostRecord,
-    /// The first voters of the deployment.
+    /// Initial control voters of the deployment.
     pub voters: BTreeSet<HostId>,
     /// Length of the lease that lets a host serve.
     pub lease_duration: Duration,
     /// Time between renewals of the lease.
     pub lease_renewal: Duration,
-    /// Silence of a primary before this host suspects it.
+    /// Silence of a primary after which this host suspects it.
     pub suspect_after: Duration,
-    /// Time without progress of replication before the primary is suspected.
+    /// Time without progress of replication after which the primary is suspected.
     pub stall_after: Duration,
-    /// Hosts that hold connections to one group.
+    /// Number of hosts that hold connections to the databases of one group.
     pub gateways_per_group: usize,
-    /// Shortest silence of control's leader before an election.
+    /// Minimum silence of the control leader before an election.
     pub election_timeout: Duration,
-    /// Time between heartbeats of control's leader.
+    /// Time between heartbeats of the control leader.
     pub heartbeat_interval: Duration,
-    /// Seed for randomness; differs at every start.
+    /// Seed of the random numbers; differs at every start.
     pub seed: u64,
 }
 
@@ -33,7 +33,7 @@
         self.record.id
     }
 
-    /// True if this host votes in control.
+    /// True if this host is one of the initial control voters.
     pub fn is_voter(&self) -> bool {
         self.voters.contains(&self.id())
     }
--- a/crates/decisions/src/pg_host/host_state.rs
+++ b/crates/decisions/src/pg_host/host_state.rs
@@ -17,7 +17,7 @@
     sessions::PositionStore,
 };
 
-/// All that one host knows and decides.
+/// The state of one host, advanced by `step`.
 #[derive(Debug)]
 pub struct HostState {
     pub(super) settings: HostSettings,
@@ -28,40 +28,41 @@
     pub(super) database_groups: BTreeMap<DatabaseName, GroupName>,
     pub(super) requests: BTreeMap<RequestId, RequestRecord>,
     pub(super) deadlines: BTreeSet<RequestDeadline>,
-    pub(super) marks: PositionStore,
-    /// Keepers that did not answer, and until when they are not waited for.
-    pub(super) silent_keepers: BTreeMap<HostId, Moment>,
+    pub(super) positions: PositionStore,
+    /// Position hosts that did not answer a lookup, each with the time until
+    /// which lookups do not wait for it.
+    pub(super) silent_position_hosts: BTreeMap<HostId, Moment>,
     pub(super) lease: HeldLease,
     pub(super) lease_due: Moment,
-    pub(super) lease_asked: u32,
+    pub(super) unanswered_lease_requests: u32,
     pub(super) leader: Option<HostId>,
     pub(super) subscription: Subscription,
     pub(super) subscribers: BTreeMap<HostId, Subscriber>,
-    pub(super) recent: VecDeque<ControlCommand>,
+    pub(super) recent_commands: VecDeque<ControlCommand>,
     pub(super) questions: Vec<PendingQuestion>,
     pub(super) draining: bool,
     pub(super) leaving: bool,
     pub(super) effects: Vec<HostEffect>,
 }
 
-/// When a waiting request must be answered; ordered by time.
+/// When a waiting request is checked for expiry; ordered by time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RequestDeadline {
     pub(super) at: Moment,
     pub(super) request: RequestId,
 }
 
-/// Where this host gets the configuration from, unless it votes.
+/// A non-voter's subscription to the configuration, at one of the voters.
 #[derive(Debug, Default)]
 pub(super) struct Subscription {
-    pub(super) rank: usize,
-    pub(super) asked_at: Moment,
-    pub(super) heard_at: Moment,
+    pub(super) voter_rank: usize,
+    pub(super) last_request_at: Moment,
+    pub(super) last_message_at: Moment,
 }
 
 impl HostState {
-    /// Starts a host with what its journal holds; hosts that do not vote have
-    /// an empty journal.
+    /// Creates the state of a host that starts with the given journal records;
+    /// the journal of a non-voter is empty.
     pub fn new(
         settings: HostSettings,
         journal: impl IntoIterator<Item = JournalRecord>,
@@ -90,15 +91,15 @@
             database_groups: BTreeMap::new(),
             requests: BTreeMap::new(),
             deadlines: BTreeSet::new(),
-            marks: PositionStore::default(),
-            silent_keepers: BTreeMap::new(),
+            positions: PositionStore::default(),
+            silent_position_hosts: BTreeMap::new(),
             lease: HeldLease::default(),
             lease_due: now,
-            lease_asked: 0,
+            unanswered_lease_requests: 0,
             leader: None,
-            subscription: Subscription { heard_at: now, ..Subscription::default() },
+            subscription: Subscription { last_message_at: now, ..Subscription::default() },
             subscribers: BTreeMap::new(),
-            recent: VecDeque::new(),
+            recent_commands: VecDeque::new(),
             questions: Vec::new(),
             draining: false,
             leaving: false,
@@ -108,37 +109,41 @@
         host
     }
 
-    /// Takes one event and returns what to do, in order.
+    /// Processes one event and returns the effects, to be executed in order.
     pub fn step(&mut self, now: Moment, event: HostEvent) -> Vec<HostEffect> {
         match event {
-            HostEvent::Tick => self.tick(now),
-            HostEvent::Leaving => self.leave(now),
-            HostEvent::Peer(from, message) => self.receive(now, from, message),
+            HostEvent::Tick => self.run_tick(now),
+            HostEvent::Leaving => self.announce_shutdown(now),
+            HostEvent::Peer(from, message) => self.handle_message(now, from, message),
             HostEvent::Persisted(number) => {
                 self.step_agreement(now, AgreementEvent::Persisted(number));
             }
-            HostEvent::Announced(announcement) => self.announced(now, announcement),
+            HostEvent::Announced(announcement) => self.handle_announcement(now, announcement),
             HostEvent::DatabaseReported { database, sent_at, status } => {
-                self.reported(now, &database, sent_at, status);
+                self.record_report(now, &database, sent_at, status);
             }
-            HostEvent::ReportFailed(database) => self.report_failed(now, &database),
+            HostEvent::ReportFailed(database) => self.record_report_failure(now, &database),
             HostEvent::OrderAnswered { database, status } => {
-                self.order_answered(now, database, status);
+                self.handle_order_answer(now, database, status);
+            }
+            HostEvent::RequestArrived(arrival) => self.handle_arrival(now, arrival),
+            HostEvent::RequestExecuted(request, report) => {
+                self.handle_execution(now, request, report);
+            }
+            HostEvent::RequestAbandoned(request) => self.abandon_request(now, request),
+            HostEvent::OperatorAsked { ticket, question } => {
+                self.handle_question(now, ticket, question);
             }
-            HostEvent::RequestArrived(arrival) => self.arrived(now, arrival),
-            HostEvent::RequestExecuted(request, report) => self.executed(now, request, report),
-            HostEvent::RequestAbandoned(request) => self.abandoned(now, request),
-            HostEvent::OperatorAsked { ticket, question } => self.asked(now, ticket, question),
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// The configuration as applied here.
+    /// The replicated configuration as applied here.
     pub fn control(&self) -> &ControlState {
         &self.control
     }
 
-    /// The agreement, if this host votes.
+    /// The agreement state; `None` if this host is not a voter.
     pub fn agreement(&self) -> Option<&AgreementState> {
         self.agreement.as_ref()
     }
@@ -148,68 +153,68 @@
         &self.groups
     }
 
-    /// Control's leader, as far as known here.
+    /// The control leader, as far as this host knows.
     pub fn leader(&self) -> Option<HostId> {
         self.leader
     }
 
-    /// True if this host may serve now.
+    /// True if this host has a valid lease and may serve requests.
     pub fn has_lease(&self, now: Moment) -> bool {
         self.lease.is_valid(now, self.control.applied)
     }
 
-    /// True if this host leads control and can prove it.
+    /// True if this host is the control leader and no other can exist yet.
     pub fn is_current_leader(&self, now: Moment) -> bool {
         self.agreement.as_ref().is_some_and(|agreement| agreement.is_current_leader(now))
     }
 
-    /// Requests under way.
+    /// Number of requests that have not ended.
     pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
-    fn tick(&mut self, now: Moment) {
+    fn run_tick(&mut self, now: Moment) {
         self.step_agreement(now, AgreementEvent::Tick);
-        self.tend_lease(now);
-        self.tend_subscription(now);
-        self.lead(now);
-        self.tend_groups(now);
+        self.renew_lease(now);
+        self.renew_subscription(now);
+        self.run_leader_tasks(now);
+        self.check_groups(now);
         self.expire_requests(now);
         self.expire_questions(now);
     }
 
-    fn receive(&mut self, now: Moment, from: HostId, message: PeerMessage) {
+    fn handle_message(&mut self, now: Moment, from: HostId, message: PeerMessage) {
         match message {
             PeerMessage::Agreement(message) => {
                 self.step_agreement(now, AgreementEvent::Received(from, message));
             }
-            PeerMessage::LeaseRequest(request) => self.lease_requested(now, from, request),
-            PeerMessage::LeaseGrant(grant) => self.lease_granted(now, from, &grant),
-            PeerMessage::LeaderIs(leader) => self.leader_named(now, leader),
-            PeerMessage::Subscribe { applied } => self.subscribed(now, from, applied),
+            PeerMessage::LeaseRequest(request) => self.handle_lease_request(now, from, request),
+            PeerMessage::LeaseGrant(grant) => self.handle_lease_grant(now, from, &grant),
+            PeerMessage::LeaderIs(leader) => self.update_leader(now, leader),
+            PeerMessage::Subscribe { applied } => self.handle_subscribe(now, from, applied),
             PeerMessage::Updates { first_index, commands } => {
-                self.updated(now, from, first_index, commands);
+                self.apply_updates(now, from, first_index, commands);
             }
-            PeerMessage::State(state) => self.replace_control(now, *state),
-            PeerMessage::Announced(announcement) => self.announced(now, announcement),
+            PeerMessage::State(state) => self.replace_control_state(now, *state),
+            PeerMessage::Announced(announcement) => self.handle_announcement(now, announcement),
             PeerMessage::SuspectPrimary { group, term } => {
-                self.suspected(now, from, &group, term);
+                self.record_suspicion(now, from, &group, term);
             }
-            PeerMessage::TermFenced { group, term } => self.fenced(now, from, &group, term),
+            PeerMessage::TermFenced { group, term } => self.record_fence(now, from, &group, term),
             PeerMessage::MemberReport { group, astray, caught_up, removable } => {
-                self.members_reported(now, &group, astray, caught_up, removable);
+                self.apply_member_report(now, &group, astray, caught_up, removable);
             }
-            PeerMessage::PositionQuery(query) => self.mark_asked(from, query),
-            PeerMessage::PositionAnswer(answer) => self.mark_answered(now, from, answer),
+            PeerMessage::PositionQuery(query) => self.handle_position_query(from, query),
+            PeerMessage::PositionAnswer(answer) => self.handle_position_answer(now, from, answer),
             PeerMessage::StorePosition { request, stored, hosts_version } => {
-                self.mark_received(from, request, stored, hosts_version);
+                self.handle_store_position(from, request, stored, hosts_version);
             }
-            PeerMessage::PositionStored { request } => self.mark_stored(now, request),
+            PeerMessage::PositionStored { request } => self.handle_position_stored(now, request),
             PeerMessage::OperatorAsk { ticket, question } => {
-                self.asked_by_peer(now, from, ticket, question);
+                self.handle_peer_question(now, from, ticket, question);
             }
             PeerMessage::OperatorReply { ticket, answer } => {
-                self.answered_by_peer(ticket, answer);
+                self.handle_peer_answer(ticket, answer);
             }
         }
     }
@@ -218,10 +223,12 @@
         self.effects.push(HostEffect::Send(to, message));
     }
 
-    /// Sends to control's leader, which may be this host.
-    pub(super) fn send_leader(&mut self, now: Moment, message: PeerMessage) {
+    /// Sends a message to the control leader, or handles it here if this host leads.
+    pub(super) fn send_to_leader(&mut self, now: Moment, message: PeerMessage) {
         match self.leader {
-            Some(leader) if leader == self.settings.id() => self.receive(now, leader, message),
+            Some(leader) if leader == self.settings.id() => {
+                self.handle_message(now, leader, message);
+            }
             Some(leader) => self.send(leader, message),
             None => {}
         }
--- a/crates/decisions/src/pg_host/leader_state.rs
+++ b/crates/decisions/src/pg_host/leader_state.rs
@@ -14,48 +14,49 @@
     sessions::rank_hosts,
 };
 
-/// Time for which an announcement counts.
+/// Time after which an announcement that was not repeated expires.
 const ANNOUNCEMENT_LIFETIME: Duration = Duration::from_secs(5);
-/// Time between two orders to follow, to one database.
+/// Interval between `Follow` orders to one database.
 const FOLLOW_RETRY: Duration = Duration::from_millis(200);
-/// Time after which the leader stops telling a silent database to follow.
+/// Time after which the leader stops sending `Follow` orders to a database that
+/// has not confirmed that it follows.
 const FOLLOW_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which a command is not proposed again.
-const PROPOSAL_QUIET: Duration = Duration::from_millis(500);
-/// Time without a lease after which a home is replaced.
-const HOME_REPLACEMENT: Duration = Duration::from_secs(3);
-/// Time without a lease after which a host is forgotten.
+/// Deduplication window: time for which an equal command is not proposed again.
+const PROPOSAL_DEDUP_WINDOW: Duration = Duration::from_millis(500);
+/// Time without a lease after which a gateway is replaced.
+const GATEWAY_REPLACEMENT_DELAY: Duration = Duration::from_secs(3);
+/// Time without a lease after which a host is removed from the configuration.
 const HOST_RETENTION: Duration = Duration::from_secs(5);
-/// Time between looks at homes and hosts.
-const SURVEY_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of the periodic check of hosts and gateways.
+const HOST_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A database that is to follow its group's primary.
+/// `Follow` orders that a database gets until it follows its group's primary.
 #[derive(Debug)]
-struct FollowDuty {
+struct PendingFollow {
     group: GroupName,
     since: Moment,
     ordered_at: Option<Moment>,
 }
 
 #[derive(Debug)]
-struct HeardAnnouncement {
+struct ReceivedAnnouncement {
     announcement: Announcement,
     at: Moment,
 }
 
-/// State of control's leader besides the configuration. A new leader starts with
-/// an empty one.
+/// Volatile state of the control leader. A new leader starts with an empty one.
 #[derive(Debug)]
 pub(super) struct LeaderState {
     pub(super) leases: LeaseTable,
     suspicions: SuspicionTable,
     changes: BTreeMap<GroupName, PrimaryChange>,
-    followers: BTreeMap<DatabaseName, FollowDuty>,
-    announcements: BTreeMap<DatabaseName, HeardAnnouncement>,
+    followers: BTreeMap<DatabaseName, PendingFollow>,
+    announcements: BTreeMap<DatabaseName, ReceivedAnnouncement>,
     proposals: Vec<RecentProposal>,
-    survey_due: Moment,
-    /// A group may need the leader; else the groups need not be looked at.
-    restless: bool,
+    host_check_due: Moment,
+    /// A group may be changing its primary or need to; otherwise the leader skips
+    /// the check of all groups.
+    groups_need_check: bool,
 }
 
 #[derive(Debug)]
@@ -74,8 +75,8 @@
             followers: BTreeMap::new(),
             announcements: BTreeMap::new(),
             proposals: Vec::new(),
-            survey_due: now,
-            restless: true,
+            host_check_due: now,
+            groups_need_check: true,
         });
         self.effects.push(HostEffect::Log(format!("This host leads control in term {term}.")));
     }
@@ -86,7 +87,8 @@
         self.effects.push(HostEffect::Log("This host no longer leads control.".to_owned()));
     }
 
-    /// Proposes a command unless the same was proposed a moment ago.
+    /// Proposes a command unless an equal one was proposed within the deduplication
+    /// window.
     pub(super) fn propose_once(&mut self, now: Moment, command: ControlCommand) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -95,38 +97,38 @@
         if leader_state.proposals.iter().any(|proposal| proposal.command == command) {
             return;
         }
-        let until = now + PROPOSAL_QUIET;
+        let until = now + PROPOSAL_DEDUP_WINDOW;
         leader_state.proposals.push(RecentProposal { command: command.clone(), until });
         self.propose(now, command);
     }
 
-    /// The leader's work at each tick.
-    pub(super) fn lead(&mut self, now: Moment) {
+    /// Runs the leader's tasks, if this host is the control leader.
+    pub(super) fn run_leader_tasks(&mut self, now: Moment) {
         if !self.is_current_leader(now) {
             return;
         }
-        if self.may_be_needed(now) {
+        if self.needs_group_check(now) {
             self.end_suspected_terms(now);
-            self.drive_changes(now);
-            self.note_rest();
+            self.advance_changes(now);
+            self.update_check_flag();
         }
         self.order_followers(now);
-        self.survey(now);
+        self.check_hosts(now);
     }
 
-    fn may_be_needed(&mut self, now: Moment) -> bool {
-        self.leader_state
-            .as_mut()
-            .is_some_and(|leader_state| leader_state.suspicions.prune(now) || leader_state.restless)
+    fn needs_group_check(&mut self, now: Moment) -> bool {
+        self.leader_state.as_mut().is_some_and(|leader_state| {
+            leader_state.suspicions.prune(now) || leader_state.groups_need_check
+        })
     }
 
-    /// Notes whether any group still changes its primary, or should.
-    fn note_rest(&mut self) {
+    /// Records whether any group is changing its primary or needs a planned change.
+    fn update_check_flag(&mut self) {
         let mut groups = self.control.groups.values();
-        let restless =
-            groups.any(|record| record.phase != GroupPhase::Steady || record.wants_other_primary());
+        let groups_need_check = groups
+            .any(|record| record.phase != GroupPhase::Steady || record.needs_planned_change());
         if let Some(leader_state) = &mut self.leader_state {
-            leader_state.restless = restless;
+            leader_state.groups_need_check = groups_need_check;
         }
     }
 
@@ -142,7 +144,7 @@
             .filter_map(|record| {
                 let suspected =
                     leader_state.suspicions.is_confirmed(now, record, &leader_state.leases);
-                let planned = record.wants_other_primary();
+                let planned = record.needs_planned_change();
                 (suspected || planned).then(|| ControlCommand::TermEnded {
                     group: record.name.clone(),
                     expected: record.highest_term(),
@@ -155,7 +157,7 @@
         }
     }
 
-    fn drive_changes(&mut self, now: Moment) {
+    fn advance_changes(&mut self, now: Moment) {
         let changing: Vec<GroupRecord> = self
             .control
             .groups
@@ -164,18 +166,18 @@
             .cloned()
             .collect();
         for record in changing {
-            self.drive_change(now, &record);
+            self.advance_change(now, &record);
         }
     }
 
-    fn drive_change(&mut self, now: Moment, record: &GroupRecord) {
+    fn advance_change(&mut self, now: Moment, record: &GroupRecord) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let change = leader_state.change(now, record);
+        let change = leader_state.change_for(now, record);
         for step in change.next_steps(now, record) {
             match step {
-                ChangeStep::Order(database, order) => self.order(record, database, order),
+                ChangeStep::Order(database, order) => self.send_order(record, database, order),
                 ChangeStep::Propose(command) => {
                     self.propose(now, command);
                 }
@@ -183,14 +185,14 @@
         }
     }
 
-    fn order(&mut self, record: &GroupRecord, database: DatabaseName, order: DatabaseOrder) {
+    fn send_order(&mut self, record: &GroupRecord, database: DatabaseName, order: DatabaseOrder) {
         if let Some(member) = record.members.get(&database) {
             let address = member.address;
             self.effects.push(HostEffect::Order { database, address, order });
         }
     }
 
-    pub(super) fn order_answered(
+    pub(super) fn handle_order_answer(
         &mut self,
         now: Moment,
         database: DatabaseName,
@@ -209,41 +211,47 @@
         if let Some(change) = leader_state.changes.get_mut(&group.name) {
             change.record_status(database, status);
             if group.phase != GroupPhase::Steady {
-                self.drive_change(now, &group);
+                self.advance_change(now, &group);
             }
         }
     }
 
-    pub(super) fn suspected(&mut self, now: Moment, from: HostId, group: &GroupName, term: u64) {
+    pub(super) fn record_suspicion(
+        &mut self,
+        now: Moment,
+        from: HostId,
+        group: &GroupName,
+        term: u64,
+    ) {
         if let Some(leader_state) = &mut self.leader_state {
             leader_state.suspicions.record(now, group, term, from);
-            self.lead(now);
+            self.run_leader_tasks(now);
         }
     }
 
-    pub(super) fn fenced(&mut self, now: Moment, from: HostId, group: &GroupName, term: u64) {
+    pub(super) fn record_fence(&mut self, now: Moment, from: HostId, group: &GroupName, term: u64) {
         let Some(record) = self.control.groups.get(group).cloned() else {
             return;
         };
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.change(now, &record).record_fenced(from, term);
+        leader_state.change_for(now, &record).record_fenced(from, term);
         if record.phase != GroupPhase::Steady && self.is_current_leader(now) {
-            self.drive_change(now, &record);
+            self.advance_change(now, &record);
         }
     }
 
-    /// Reacts to a committed command as leader.
-    pub(super) fn leader_applied(&mut self, now: Moment, command: &ControlCommand) {
+    /// Updates the leader state, if this host leads, after a committed command.
+    pub(super) fn update_leader_state(&mut self, now: Moment, command: &ControlCommand) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.restless = true;
+        leader_state.groups_need_check = true;
         match command {
             ControlCommand::TermEnded { group, .. } => {
                 if let Some(record) = self.control.groups.get(group) {
-                    leader_state.change(now, record);
+                    leader_state.change_for(now, record);
                 }
             }
             ControlCommand::PrimaryChosen { group, .. } => {
@@ -256,14 +264,14 @@
                 if let Some(record) = self.control.groups.get(group) {
                     for database in record.members.keys().filter(|d| **d != record.primary) {
                         let follow =
-                            FollowDuty { group: group.clone(), since: now, ordered_at: None };
+                            PendingFollow { group: group.clone(), since: now, ordered_at: None };
                         leader_state.followers.insert(database.clone(), follow);
                     }
                 }
             }
             _ => return,
         }
-        self.lead(now);
+        self.run_leader_tasks(now);
     }
 
     fn order_followers(&mut self, now: Moment) {
@@ -284,12 +292,12 @@
         for (record, database) in orders {
             if let Some(primary) = record.members.get(&record.primary) {
                 let order = DatabaseOrder::Follow { term: record.term, primary: primary.address };
-                self.order(&record, database, order);
+                self.send_order(&record, database, order);
             }
         }
     }
 
-    pub(super) fn members_reported(
+    pub(super) fn apply_member_report(
         &mut self,
         now: Moment,
         group: &GroupName,
@@ -301,7 +309,7 @@
             return;
         };
         for database in astray {
-            leader_state.followers.entry(database).or_insert_with(|| FollowDuty {
+            leader_state.followers.entry(database).or_insert_with(|| PendingFollow {
                 group: group.clone(),
                 since: now,
                 ordered_at: None,
@@ -310,8 +318,8 @@
         let leaving: Vec<DatabaseName> = removable
             .into_iter()
             .filter(|database| {
-                let heard = leader_state.announcements.get(database);
-                heard.is_some_and(|heard| heard.announcement.leaving)
+                let received = leader_state.announcements.get(database);
+                received.is_some_and(|received| received.announcement.leaving)
             })
             .collect();
         for database in caught_up {
@@ -324,7 +332,7 @@
 
     // Announcements.
 
-    pub(super) fn announced(&mut self, now: Moment, announcement: Announcement) {
+    pub(super) fn handle_announcement(&mut self, now: Moment, announcement: Announcement) {
         let database = announcement.database.clone();
         let known = self
             .control
@@ -348,17 +356,19 @@
             }
             return;
         }
-        self.take_announcement(now, announcement);
+        self.apply_announcement(now, announcement);
     }
 
-    fn take_announcement(&mut self, now: Moment, announcement: Announcement) {
+    fn apply_announcement(&mut self, now: Moment, announcement: Announcement) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         let group = announcement.group.clone();
-        let heard = HeardAnnouncement { announcement: announcement.clone(), at: now };
-        leader_state.announcements.insert(announcement.database.clone(), heard);
-        leader_state.announcements.retain(|_, heard| now.since(heard.at) < ANNOUNCEMENT_LIFETIME);
+        let received = ReceivedAnnouncement { announcement: announcement.clone(), at: now };
+        leader_state.announcements.insert(announcement.database.clone(), received);
+        leader_state
+            .announcements
+            .retain(|_, received| now.since(received.at) < ANNOUNCEMENT_LIFETIME);
         if !self.control.is_declared(&group) {
             return;
         }
@@ -384,21 +394,21 @@
 
     fn form_group(&mut self, now: Moment, name: &GroupName) {
         let needed = self.control.declaration_of(name).map_or(usize::MAX, |d| d.databases as usize);
-        let homes = self.wanted_homes(now, name, &[]);
+        let gateways = self.select_gateways(now, name, &[]);
         let Some(leader_state) = &self.leader_state else {
             return;
         };
         let announced: Vec<&Announcement> = leader_state
             .announcements
             .values()
-            .map(|heard| &heard.announcement)
+            .map(|received| &received.announcement)
             .filter(|announcement| announcement.group == *name && !announcement.leaving)
             .collect();
         let primary = announced
             .iter()
             .filter(|announcement| announcement.role == DatabaseRole::Primary)
             .max_by_key(|announcement| announcement.term);
-        let Some(primary) = primary.filter(|_| announced.len() >= needed && !homes.is_empty())
+        let Some(primary) = primary.filter(|_| announced.len() >= needed && !gateways.is_empty())
         else {
             return;
         };
@@ -412,21 +422,21 @@
             primary: primary.database.clone(),
             phase: GroupPhase::Steady,
             members,
-            gateways: homes,
+            gateways,
             gateway_shares: self.settings.gateways_per_group as u32 + 1,
         };
         self.propose_once(now, ControlCommand::GroupFormed(record));
     }
 
-    // Homes and hosts.
+    // Gateways and hosts.
 
-    fn survey(&mut self, now: Moment) {
+    fn check_hosts(&mut self, now: Moment) {
         let Some(leader_state) =
-            self.leader_state.as_mut().filter(|leader_state| now >= leader_state.survey_due)
+            self.leader_state.as_mut().filter(|leader_state| now >= leader_state.host_check_due)
         else {
             return;
         };
-        leader_state.survey_due = now + SURVEY_INTERVAL;
+        leader_state.host_check_due = now + HOST_CHECK_INTERVAL;
         let leases = &leader_state.leases;
         let gone: Vec<HostId> = self
             .control
@@ -443,9 +453,9 @@
             .groups
             .values()
             .filter_map(|record| {
-                let homes = self.wanted_homes(now, &record.name, &record.gateways);
-                let differs = homes != record.gateways && !homes.is_empty();
-                differs.then(|| ControlCommand::GatewaysAssigned(record.name.clone(), homes))
+                let gateways = self.select_gateways(now, &record.name, &record.gateways);
+                let differs = gateways != record.gateways && !gateways.is_empty();
+                differs.then(|| ControlCommand::GatewaysAssigned(record.name.clone(), gateways))
             })
             .collect();
         for command in changes {
@@ -453,9 +463,9 @@
         }
     }
 
-    /// The homes that a group should have: those it has, less the ones that
-    /// are gone or draining, filled up with the best-ranked live hosts.
-    fn wanted_homes(&self, now: Moment, name: &GroupName, current: &[HostId]) -> Vec<HostId> {
+    /// Selects the gateways of a group: the current ones except those that are gone
+    /// or draining, then the highest-ranked live hosts up to the wanted number.
+    fn select_gateways(&self, now: Moment, name: &GroupName, current: &[HostId]) -> Vec<HostId> {
         let Some(leader_state) = &self.leader_state else {
             return Vec::new();
         };
@@ -464,27 +474,27 @@
         let keep = |host: &HostId| {
             let record = self.control.hosts.get(host);
             record.is_some_and(|record| !record.draining)
-                && leader_state.leases.time_since_expiry(now, *host) < HOME_REPLACEMENT
+                && leader_state.leases.time_since_expiry(now, *host) < GATEWAY_REPLACEMENT_DELAY
         };
-        let mut homes: Vec<HostId> = current.iter().copied().filter(keep).collect();
+        let mut gateways: Vec<HostId> = current.iter().copied().filter(keep).collect();
         let live = self.control.hosts.values().filter(|host| usable(host)).map(|host| host.id);
         for host in rank_hosts(name.as_str().as_bytes(), live) {
-            if homes.len() >= self.settings.gateways_per_group {
+            if gateways.len() >= self.settings.gateways_per_group {
                 break;
             }
-            if !homes.contains(&host) {
-                homes.push(host);
+            if !gateways.contains(&host) {
+                gateways.push(host);
             }
         }
-        homes
+        gateways
     }
 }
 
 impl LeaderState {
-    /// The notes on a group's change of primary, new ones for a new term.
-    fn change(&mut self, now: Moment, record: &GroupRecord) -> &mut PrimaryChange {
-        let fresh = || PrimaryChange::new(now, record, &self.leases);
-        let change = self.changes.entry(record.name.clone()).or_insert_with(fresh);
+    /// The state of a group's change of primary, a new one for each term.
+    fn change_for(&mut self, now: Moment, record: &GroupRecord) -> &mut PrimaryChange {
+        let new_change = || PrimaryChange::new(now, record, &self.leases);
+        let change = self.changes.entry(record.name.clone()).or_insert_with(new_change);
         if change.next_term != record.highest_term() {
             *change = PrimaryChange::new(now, record, &self.leases);
         }
@@ -494,7 +504,7 @@
 
 impl GroupRecord {
     /// True if the primary is draining and another member could take over.
-    fn wants_other_primary(&self) -> bool {
+    fn needs_planned_change(&self) -> bool {
         let draining = self
             .members
             .get(&self.primary)
--- a/crates/decisions/src/pg_host/lease_flow.rs
+++ b/crates/decisions/src/pg_host/lease_flow.rs
@@ -5,11 +5,11 @@
     identity::HostId,
 };
 
-/// Unanswered lease requests after which another voter is asked for the leader.
+/// Unanswered lease requests after which other voters are asked for the leader.
 const UNANSWERED_LIMIT: u32 = 2;
 
 impl HostState {
-    pub(super) fn tend_lease(&mut self, now: Moment) {
+    pub(super) fn renew_lease(&mut self, now: Moment) {
         if now < self.lease_due {
             return;
         }
@@ -17,10 +17,10 @@
         if self.is_current_leader(now) {
             return self.renew_own_lease(now);
         }
-        let Some(to) = self.lease_target() else {
+        let Some(to) = self.choose_lease_target() else {
             return;
         };
-        self.lease_asked += 1;
+        self.unanswered_lease_requests += 1;
         let request = LeaseRequest {
             record: self.settings.record.clone(),
             sent_at: now,
@@ -30,16 +30,17 @@
         self.send(to, PeerMessage::LeaseRequest(request));
     }
 
-    /// The known leader, or voters in turn while it does not answer.
-    fn lease_target(&self) -> Option<HostId> {
+    /// The known leader, or the other voters in turn while it is unknown or does
+    /// not answer.
+    fn choose_lease_target(&self) -> Option<HostId> {
         let me = self.settings.id();
         let known = self.leader.filter(|leader| *leader != me);
-        if self.lease_asked <= UNANSWERED_LIMIT && known.is_some() {
+        if self.unanswered_lease_requests <= UNANSWERED_LIMIT && known.is_some() {
             return known;
         }
         let voters: Vec<HostId> =
             self.settings.voters.iter().copied().filter(|voter| *voter != me).collect();
-        let turn = self.lease_asked as usize % voters.len().max(1);
+        let turn = self.unanswered_lease_requests as usize % voters.len().max(1);
         voters.get(turn).copied()
     }
 
@@ -52,12 +53,17 @@
         };
         let duration = leader_state.leases.grant(now, me);
         self.lease.extend(now, duration, required);
-        self.lease_asked = 0;
+        self.unanswered_lease_requests = 0;
         let leaving = self.leaving;
-        self.note_host(now, record, leaving);
+        self.record_host(now, record, leaving);
     }
 
-    pub(super) fn lease_requested(&mut self, now: Moment, from: HostId, request: LeaseRequest) {
+    pub(super) fn handle_lease_request(
+        &mut self,
+        now: Moment,
+        from: HostId,
+        request: LeaseRequest,
+    ) {
         let required = self.agreement.as_ref().map_or(0, |agreement| agreement.commit());
         let current = self.is_current_leader(now);
         let Some(leader_state) = self.leader_state.as_mut().filter(|_| current) else {
@@ -67,34 +73,34 @@
         let duration = leader_state.leases.grant(now, from);
         let grant = LeaseGrant { sent_at: request.sent_at, duration, required_index: required };
         self.send(from, PeerMessage::LeaseGrant(grant));
-        self.note_host(now, request.record, request.leaving);
+        self.record_host(now, request.record, request.leaving);
     }
 
-    pub(super) fn lease_granted(&mut self, now: Moment, from: HostId, grant: &LeaseGrant) {
+    pub(super) fn handle_lease_grant(&mut self, now: Moment, from: HostId, grant: &LeaseGrant) {
         self.leader = Some(from);
-        self.lease_asked = 0;
+        self.unanswered_lease_requests = 0;
         self.lease.extend(grant.sent_at, grant.duration, grant.required_index);
-        self.pump_all(now);
+        self.dispatch_all_waiting(now);
     }
 
-    pub(super) fn leader_named(&mut self, now: Moment, leader: Option<HostId>) {
+    pub(super) fn update_leader(&mut self, now: Moment, leader: Option<HostId>) {
         if leader.is_some() && self.leader != leader {
             self.leader = leader;
-            self.lease_asked = 0;
+            self.unanswered_lease_requests = 0;
             self.lease_due = now;
         }
     }
 
-    /// Tells control at once that this host leaves, so that its homes move and
-    /// nobody waits for it as a keeper.
-    pub(super) fn leave(&mut self, now: Moment) {
+    /// Reports at once to the control leader that this host shuts down, so that its
+    /// groups get another gateway and no lookup waits for it as a position host.
+    pub(super) fn announce_shutdown(&mut self, now: Moment) {
         self.leaving = true;
         self.lease_due = now;
-        self.tend_lease(now);
+        self.renew_lease(now);
     }
 
-    /// Commits a host's facts when they are new, or that it leaves.
-    fn note_host(&mut self, now: Moment, record: HostRecord, leaving: bool) {
+    /// Commits a host's record if it changed, or its departure if it is leaving.
+    fn record_host(&mut self, now: Moment, record: HostRecord, leaving: bool) {
         let known = self.control.hosts.get(&record.id);
         if leaving {
             if known.is_some() {
@@ -102,10 +108,10 @@
             }
             return;
         }
-        let same = known.is_some_and(|known| {
+        let unchanged = known.is_some_and(|known| {
             HostRecord { draining: known.draining, ..record.clone() } == *known
         });
-        if !same {
+        if !unchanged {
             self.propose_once(now, ControlCommand::HostJoined(record));
         }
     }
--- a/crates/decisions/src/pg_host/mod.rs
+++ b/crates/decisions/src/pg_host/mod.rs
@@ -1,4 +1,4 @@
-//! A host's whole logic: events in, effects out.
+//! State machine of a `hawthornstackd` host: takes events and returns effects.
 
 mod control_flow;
 mod gateway_flow;
--- a/crates/decisions/src/pg_host/operator_flow.rs
+++ b/crates/decisions/src/pg_host/operator_flow.rs
@@ -12,32 +12,32 @@
 /// Time that an operator's question waits for its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What an operator asks.
+/// A question of an operator, answered by the control leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorQuestion {
-    /// Make a plan.
+    /// Make a plan for an intent.
     Plan(Intent),
     /// Confirm a plan.
     Confirm {
-        /// Identity of the operator's request; a repeat gets the first answer.
+        /// Id of the operator's request; a repeat gets the first answer.
         request: Arc<str>,
-        /// The plan.
+        /// Id of the plan.
         plan: Arc<str>,
-        /// Who confirms.
+        /// Name of the operator.
         operator: Arc<str>,
         /// Wall-clock time, in milliseconds since 1970.
         at_unix_ms: u64,
     },
 }
 
-/// What an operator hears.
+/// The answer to an operator's question.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorAnswer {
     /// A plan, or what is wrong with the intent.
     Plan(Result<Plan, String>),
-    /// How a confirmation ended.
+    /// The result of a confirmation.
     Confirm(ConfirmationResult),
-    /// No host that can prove to lead was reached; the leader, if known.
+    /// No host that can prove that it leads was reached; holds the leader, if known.
     NotCurrent(Option<HostId>),
 }
 
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub(super) struct PendingQuestion {
     asker: QuestionAsker,
-    /// The confirmation that it waits for, on the leader.
+    /// On the leader: id of the confirmation that the question waits for.
     request: Option<Arc<str>>,
     until: Moment,
 }
@@ -60,8 +60,9 @@
 }
 
 impl HostState {
-    /// An operator asks here: the leader answers, other hosts pass it on.
-    pub(super) fn asked(&mut self, now: Moment, ticket: u64, question: OperatorQuestion) {
+    /// Answers a question of an operator of this host if this host leads, else
+    /// forwards it to the leader.
+    pub(super) fn handle_question(&mut self, now: Moment, ticket: u64, question: OperatorQuestion) {
         let asker = QuestionAsker::Local(ticket);
         if self.is_current_leader(now) {
             return self.answer_question(now, asker, question);
@@ -73,11 +74,11 @@
                 self.questions.push(PendingQuestion { asker, request: None, until });
                 self.send(leader, PeerMessage::OperatorAsk { ticket, question });
             }
-            None => self.reply(asker, OperatorAnswer::NotCurrent(None)),
+            None => self.send_answer(asker, OperatorAnswer::NotCurrent(None)),
         }
     }
 
-    pub(super) fn asked_by_peer(
+    pub(super) fn handle_peer_question(
         &mut self,
         now: Moment,
         from: HostId,
@@ -87,16 +88,16 @@
         let asker = QuestionAsker::Peer(from, ticket);
         match self.is_current_leader(now) {
             true => self.answer_question(now, asker, question),
-            false => self.reply(asker, OperatorAnswer::NotCurrent(self.leader)),
+            false => self.send_answer(asker, OperatorAnswer::NotCurrent(self.leader)),
         }
     }
 
-    pub(super) fn answered_by_peer(&mut self, ticket: u64, answer: OperatorAnswer) {
+    pub(super) fn handle_peer_answer(&mut self, ticket: u64, answer: OperatorAnswer) {
         let asker = QuestionAsker::Local(ticket);
-        let known = self.questions.iter().position(|pending| pending.asker == asker);
-        if let Some(place) = known {
-            self.questions.swap_remove(place);
-            self.reply(asker, answer);
+        let index = self.questions.iter().position(|pending| pending.asker == asker);
+        if let Some(index) = index {
+            self.questions.swap_remove(index);
+            self.send_answer(asker, answer);
         }
     }
 
@@ -109,11 +110,11 @@
                 {
                     self.propose(now, ControlCommand::PlanMade(plan.clone()));
                 }
-                self.reply(asker, OperatorAnswer::Plan(answer));
+                self.send_answer(asker, OperatorAnswer::Plan(answer));
             }
             OperatorQuestion::Confirm { request, plan, operator, at_unix_ms } => {
                 if let Some(answer) = self.control.answers.get(&request).cloned() {
-                    return self.reply(asker, OperatorAnswer::Confirm(answer));
+                    return self.send_answer(asker, OperatorAnswer::Confirm(answer));
                 }
                 let until = now + ANSWER_TIMEOUT;
                 let pending = PendingQuestion { asker, request: Some(request.clone()), until };
@@ -124,7 +125,7 @@
         }
     }
 
-    fn reply(&mut self, asker: QuestionAsker, answer: OperatorAnswer) {
+    fn send_answer(&mut self, asker: QuestionAsker, answer: OperatorAnswer) {
         match asker {
             QuestionAsker::Local(ticket) => {
                 self.effects.push(HostEffect::Answer { ticket, answer });
@@ -135,28 +136,28 @@
         }
     }
 
-    /// A confirmation was committed: those who wait for it hear its answer.
+    /// Answers the questions that wait for a confirmation that was committed.
     pub(super) fn answer_confirmations(&mut self, request: &Arc<str>) {
         let Some(answer) = self.control.answers.get(request).cloned() else {
             return;
         };
-        let (done, waiting) = std::mem::take(&mut self.questions)
+        let (done, pending) = std::mem::take(&mut self.questions)
             .into_iter()
             .partition(|pending| pending.request.as_ref() == Some(request));
-        self.questions = waiting;
+        self.questions = pending;
         for pending in done {
-            self.reply(pending.asker, OperatorAnswer::Confirm(answer.clone()));
+            self.send_answer(pending.asker, OperatorAnswer::Confirm(answer.clone()));
         }
     }
 
     pub(super) fn expire_questions(&mut self, now: Moment) {
-        let (late, waiting) = std::mem::take(&mut self.questions)
+        let (late, pending) = std::mem::take(&mut self.questions)
             .into_iter()
             .partition(|pending| pending.until <= now);
-        self.questions = waiting;
+        self.questions = pending;
         let leader = self.leader;
         for pending in late {
-            self.reply(pending.asker, OperatorAnswer::NotCurrent(leader));
+            self.send_answer(pending.asker, OperatorAnswer::NotCurrent(leader));
         }
     }
 }
--- a/crates/decisions/src/pg_host/peer_message.rs
+++ b/crates/decisions/src/pg_host/peer_message.rs
@@ -13,49 +13,49 @@
     sessions::StoredPosition,
 };
 
-/// Asks control's leader for a lease.
+/// Asks the control leader for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Facts of the asking host.
+    /// Record of the requesting host, committed if it changed.
     pub record: HostRecord,
-    /// When it asked, on its own clock; echoed.
+    /// Send time on the requesting host's clock, echoed in the grant.
     pub sent_at: Moment,
-    /// Commands that it has applied.
+    /// Index of the last command that it has applied.
     pub applied: u64,
-    /// It is shutting down: it serves what it has and takes nothing new.
+    /// It is shutting down: it finishes its requests and accepts no new ones.
     pub leaving: bool,
 }
 
 /// Grants a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Echo of the holder's time; the lease counts from there.
+    /// `sent_at` of the request; the lease starts at this time.
     pub sent_at: Moment,
     /// Length of the lease.
     pub duration: Duration,
-    /// Commands that must be applied before the lease counts.
+    /// Index that the holder must have applied for the lease to be valid.
     pub required_index: u64,
 }
 
 /// Asks a position host for a session's position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PositionQuery {
-    /// The request that waits for it.
+    /// The request that waits for the position.
     pub request: RequestId,
-    /// The session.
+    /// The session whose position is requested.
     pub session: SessionId,
-    /// The group.
+    /// The group that the position belongs to.
     pub group: GroupName,
     /// Version of the set of hosts by which the position host was chosen.
     pub hosts_version: u64,
 }
 
-/// A position host's answer.
+/// A position host's answer to a query.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PositionAnswer {
-    /// The request that waits for it.
+    /// The request that waits for the position.
     pub request: RequestId,
-    /// The position; `None` means not known.
+    /// The session's position; `None` means not known.
     #[serde(rename = "mark")]
     pub position: Option<LogPosition>,
 }
@@ -63,17 +63,17 @@
 /// Messages between hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Between voters.
+    /// An agreement message between voters.
     Agreement(AgreementMessage),
-    /// To control's leader, or to any voter that may know it.
+    /// To the control leader, or to a voter that may know the leader.
     LeaseRequest(LeaseRequest),
-    /// From control's leader.
+    /// From the control leader.
     LeaseGrant(LeaseGrant),
-    /// The receiver asked a host that does not lead.
+    /// Reply of a host that is not the leader: the leader that it knows of.
     LeaderIs(Option<HostId>),
-    /// To a voter: send what follows this index.
+    /// To a voter: send the commands after `applied`.
     Subscribe {
-        /// Commands applied so far.
+        /// Index of the last command that the sender has applied.
         applied: u64,
     },
     /// Commands that follow `first_index - 1`.
@@ -83,35 +83,37 @@
         /// Commands in order.
         commands: Vec<ControlCommand>,
     },
-    /// The whole configuration, for a host that is far behind.
+    /// The whole configuration, for a subscriber that lacks more commands than
+    /// are kept.
     State(Box<ControlState>),
-    /// An announcement on its way to control's leader.
+    /// To the control leader: a forwarded announcement.
     Announced(Announcement),
-    /// To control's leader: this gateway cannot use the primary of `term`.
+    /// To the control leader: this gateway cannot use the primary of `term`.
     SuspectPrimary {
         /// The group.
         group: GroupName,
         /// The term.
         term: u64,
     },
-    /// To control's leader: this gateway acknowledges nothing below `term`.
+    /// To the control leader: this gateway acknowledges no requests of terms
+    /// below `term`.
     TermFenced {
         /// The group.
         group: GroupName,
         /// The term.
         term: u64,
     },
-    /// To control's leader: a member does not follow the group's term, or has
-    /// caught up and could count.
+    /// To the control leader: members need a `Follow` order or a change of
+    /// standing.
     MemberReport {
         /// The group.
         group: GroupName,
-        /// The members that do not follow.
+        /// Members other than the primary that are not replicas in its term.
         astray: Vec<DatabaseName>,
-        /// Joining members that hold what the primary had when asked.
+        /// Joining members that hold the primary's last reported position.
         caught_up: Vec<DatabaseName>,
-        /// Draining members without which a majority holds all that the
-        /// primary had when asked.
+        /// Draining members that may leave, as a majority without them holds the
+        /// primary's last reported position.
         removable: Vec<DatabaseName>,
     },
     /// To a position host.
@@ -123,21 +125,21 @@
     /// To a position host: store this position.
     #[serde(rename = "MarkStore")]
     StorePosition {
-        /// The request whose answer waits for it.
+        /// The request after which the position is stored.
         request: RequestId,
-        /// The position.
+        /// The position to store.
         stored: StoredPosition,
         /// Version of the set of hosts by which the position host was chosen.
         hosts_version: u64,
     },
-    /// To control's leader: an operator of the sender asks.
+    /// To the control leader: a question of an operator of the sender.
     OperatorAsk {
         /// Number of the question on the sender.
         ticket: u64,
         /// The question.
         question: OperatorQuestion,
     },
-    /// From control's leader.
+    /// From the control leader: the answer to an operator's question.
     OperatorReply {
         /// Number of the question on the receiver.
         ticket: u64,
@@ -147,13 +149,13 @@
     /// From a position host: the position is stored.
     #[serde(rename = "MarkStored")]
     PositionStored {
-        /// The request whose answer waits for it.
+        /// `request` of the `StorePosition` that this confirms.
         request: RequestId,
     },
 }
 
 impl PeerMessage {
-    /// Name of the kind of message, for metrics.
+    /// Kind of the message, as a metric label.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Agreement(_) => "agreement",
--- a/crates/decisions/src/pg_host/position_flow.rs
+++ b/crates/decisions/src/pg_host/position_flow.rs
@@ -10,20 +10,21 @@
     sessions::{StoredPosition, session_position_hosts},
 };
 
-/// Time that keepers get to answer before the primary is asked instead.
+/// Time that position hosts have to answer before a read goes to the primary
+/// instead.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(50);
-/// Time for which a keeper that did not answer is not waited for.
-const SILENCE_MEMORY: Duration = Duration::from_secs(2);
-/// Time that keepers get to store a mark.
+/// Time for which lookups do not wait for a position host that did not answer.
+const SILENT_HOST_SKIP: Duration = Duration::from_secs(2);
+/// Time that position hosts have to store a position.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl HostState {
-    fn keepers(&self, session: &SessionId) -> Vec<HostId> {
+    fn position_hosts_of(&self, session: &SessionId) -> Vec<HostId> {
         session_position_hosts(session, self.control.hosts.keys().copied())
     }
 
-    /// Asks all keepers of the request's session for its mark.
-    pub(super) fn look_up_mark(&mut self, now: Moment, request: RequestId) {
+    /// Asks all position hosts of the request's session for its position.
+    pub(super) fn look_up_position(&mut self, now: Moment, request: RequestId) {
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
@@ -31,55 +32,57 @@
             return self.enqueue(now, request);
         };
         let group = record.arrival.group.clone();
-        let floor = match record.arrival.position_source {
-            PositionSource::Known(mark) | PositionSource::PositionHosts(mark) => mark,
+        let known = match record.arrival.position_source {
+            PositionSource::Known(position) | PositionSource::PositionHosts(position) => position,
         };
         let until = now + LOOKUP_TIMEOUT;
-        let keepers = self.keepers(&session);
+        let position_hosts = self.position_hosts_of(&session);
         if let Some(record) = self.requests.get_mut(&request) {
             record.phase = RequestPhase::LookingUpPosition {
-                waiting: keepers.iter().copied().collect(),
-                found: Some(floor),
+                waiting: position_hosts.iter().copied().collect(),
+                found: Some(known),
                 until,
             };
         }
         self.set_deadline(request, until);
-        self.silent_keepers.retain(|_, until| *until > now);
-        let silent = keepers.iter().any(|keeper| self.silent_keepers.contains_key(keeper));
+        self.silent_position_hosts.retain(|_, until| *until > now);
+        let any_silent =
+            position_hosts.iter().any(|host| self.silent_position_hosts.contains_key(host));
         let hosts_version = self.control.hosts_version;
-        for keeper in keepers {
+        for host in position_hosts {
             let query = PositionQuery {
                 request,
                 session: session.clone(),
                 group: group.clone(),
                 hosts_version,
             };
-            if keeper == self.settings.id() {
-                let mark = self.find_mark(&query);
-                self.mark_answered(now, keeper, PositionAnswer { request, position: mark });
+            if host == self.settings.id() {
+                let position = self.find_position(&query);
+                self.handle_position_answer(now, host, PositionAnswer { request, position });
             } else {
-                self.send(keeper, PeerMessage::PositionQuery(query));
+                self.send(host, PeerMessage::PositionQuery(query));
             }
         }
-        if silent {
-            self.skip_lookup(now, request);
+        if any_silent {
+            self.cancel_lookup(now, request);
         }
     }
 
-    /// Notes the keepers that a lookup waited for in vain. Until they answer
-    /// again, or some time has passed, nobody waits for them.
-    pub(super) fn note_late_lookup(&mut self, now: Moment, request: RequestId) {
+    /// Records the position hosts that did not answer an expired lookup. Lookups
+    /// do not wait for them until they answer again or `SILENT_HOST_SKIP` has
+    /// passed.
+    pub(super) fn record_silent_hosts(&mut self, now: Moment, request: RequestId) {
         let phase = self.requests.get(&request).map(|record| record.phase.clone());
         if let Some(RequestPhase::LookingUpPosition { waiting, until, .. }) = phase
             && until <= now
         {
-            let until = now + SILENCE_MEMORY;
-            self.silent_keepers.extend(waiting.into_iter().map(|keeper| (keeper, until)));
+            let until = now + SILENT_HOST_SKIP;
+            self.silent_position_hosts.extend(waiting.into_iter().map(|host| (host, until)));
         }
     }
 
-    /// Ends a lookup that cannot succeed: the primary is asked.
-    fn skip_lookup(&mut self, now: Moment, request: RequestId) {
+    /// Ends a lookup that cannot succeed, so that the read goes to the primary.
+    fn cancel_lookup(&mut self, now: Moment, request: RequestId) {
         if let Some(record) = self.requests.get_mut(&request)
             && matches!(record.phase, RequestPhase::LookingUpPosition { .. })
         {
@@ -88,26 +91,31 @@
         }
     }
 
-    fn find_mark(&self, query: &PositionQuery) -> Option<LogPosition> {
+    fn find_position(&self, query: &PositionQuery) -> Option<LogPosition> {
         if query.hosts_version != self.control.hosts_version {
             return None;
         }
-        self.marks.find(&query.session, &query.group)
+        self.positions.find(&query.session, &query.group)
     }
 
-    fn keep_mark(&mut self, stored: StoredPosition) {
-        let keepers = self.keepers(&stored.session);
-        self.marks.raise(stored, &keepers);
+    fn raise_position(&mut self, stored: StoredPosition) {
+        let position_hosts = self.position_hosts_of(&stored.session);
+        self.positions.raise(stored, &position_hosts);
     }
 
-    pub(super) fn mark_asked(&mut self, from: HostId, query: PositionQuery) {
-        let mark = self.find_mark(&query);
-        let answer = PositionAnswer { request: query.request, position: mark };
+    pub(super) fn handle_position_query(&mut self, from: HostId, query: PositionQuery) {
+        let position = self.find_position(&query);
+        let answer = PositionAnswer { request: query.request, position };
         self.send(from, PeerMessage::PositionAnswer(answer));
     }
 
-    pub(super) fn mark_answered(&mut self, now: Moment, from: HostId, answer: PositionAnswer) {
-        self.silent_keepers.remove(&from);
+    pub(super) fn handle_position_answer(
+        &mut self,
+        now: Moment,
+        from: HostId,
+        answer: PositionAnswer,
+    ) {
+        self.silent_position_hosts.remove(&from);
         let request = answer.request;
         let Some(record) = self.requests.get_mut(&request) else {
             return;
@@ -119,7 +127,7 @@
             return;
         }
         *found = match (*found, answer.position) {
-            (Some(highest), Some(mark)) => Some(highest.max(mark)),
+            (Some(highest), Some(position)) => Some(highest.max(position)),
             _ => None,
         };
         if waiting.is_empty() || found.is_none() {
@@ -128,36 +136,46 @@
         }
     }
 
-    /// Stores a named session's mark before its write is answered.
-    pub(super) fn store_mark(&mut self, now: Moment, request: RequestId, mark: LogPosition) {
+    /// Stores a named session's position before its write is answered.
+    pub(super) fn store_position(
+        &mut self,
+        now: Moment,
+        request: RequestId,
+        position: LogPosition,
+    ) {
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
         let Some(session) = record.arrival.session.clone() else {
-            return self.conclude(now, request, ResultCode::Done, Some(mark));
+            return self.complete_request(now, request, ResultCode::Done, Some(position));
         };
         let until = now + STORE_TIMEOUT;
-        record.phase = RequestPhase::StoringPosition { position: mark, until };
+        record.phase = RequestPhase::StoringPosition { position, until };
         let group = record.arrival.group.clone();
         self.set_deadline(request, until);
-        self.send_mark(now, request, StoredPosition { session, group, position: mark });
+        self.send_position(now, request, StoredPosition { session, group, position });
     }
 
-    /// Hands a mark to the session's keepers.
-    pub(super) fn send_mark(&mut self, now: Moment, request: RequestId, stored: StoredPosition) {
+    /// Sends a position to the session's position hosts.
+    pub(super) fn send_position(
+        &mut self,
+        now: Moment,
+        request: RequestId,
+        stored: StoredPosition,
+    ) {
         let hosts_version = self.control.hosts_version;
-        for keeper in self.keepers(&stored.session) {
-            if keeper == self.settings.id() {
-                self.keep_mark(stored.clone());
-                self.mark_stored(now, request);
+        for host in self.position_hosts_of(&stored.session) {
+            if host == self.settings.id() {
+                self.raise_position(stored.clone());
+                self.handle_position_stored(now, request);
             } else {
                 let stored = stored.clone();
-                self.send(keeper, PeerMessage::StorePosition { request, stored, hosts_version });
+                self.send(host, PeerMessage::StorePosition { request, stored, hosts_version });
             }
         }
     }
 
-    pub(super) fn mark_received(
+    pub(super) fn handle_store_position(
         &mut self,
         from: HostId,
         request: RequestId,
@@ -165,16 +183,17 @@
         hosts_version: u64,
     ) {
         if hosts_version == self.control.hosts_version {
-            self.keep_mark(stored);
+            self.raise_position(stored);
             self.send(from, PeerMessage::PositionStored { request });
         }
     }
 
-    /// One keeper is enough: a lookup needs the word of all of them.
-    pub(super) fn mark_stored(&mut self, now: Moment, request: RequestId) {
+    /// Completes the request at the first confirmation. One position host is
+    /// enough, because a lookup needs the answers of all of them.
+    pub(super) fn handle_position_stored(&mut self, now: Moment, request: RequestId) {
         let phase = self.requests.get(&request).map(|record| record.phase.clone());
-        if let Some(RequestPhase::StoringPosition { position: mark, .. }) = phase {
-            self.conclude(now, request, ResultCode::Done, Some(mark));
+        if let Some(RequestPhase::StoringPosition { position, .. }) = phase {
+            self.complete_request(now, request, ResultCode::Done, Some(position));
         }
     }
 }
--- a/crates/decisions/src/pg_host/report_flow.rs
+++ b/crates/decisions/src/pg_host/report_flow.rs
@@ -9,17 +9,19 @@
     positions::LogPosition,
 };
 
-/// Time between words to the leader about one group.
-const LEADER_WORD_INTERVAL: Duration = Duration::from_millis(60);
-/// Time between reports on a group's members.
+/// Minimum interval between suspicions or fences that are sent to the leader for
+/// one group.
+const LEADER_NOTICE_INTERVAL: Duration = Duration::from_millis(60);
+/// Minimum interval between reports on one group's members.
 const MEMBER_REPORT_INTERVAL: Duration = Duration::from_millis(300);
-/// Failures to connect after which the primary is suspected early.
+/// Failed status queries after which the primary is suspected early, that is
+/// after `MIN_REFUSAL_SILENCE`.
 const FAILURES_TO_SUSPECT: u32 = 2;
-/// Shortest silence of a primary that refuses connections.
-const REFUSAL_SILENCE: Duration = Duration::from_millis(150);
+/// Minimum silence of a primary that refuses connections before it is suspected.
+const MIN_REFUSAL_SILENCE: Duration = Duration::from_millis(150);
 
 impl HostState {
-    pub(super) fn reported(
+    pub(super) fn record_report(
         &mut self,
         now: Moment,
         database: &DatabaseName,
@@ -43,12 +45,12 @@
         if let Some(view) = group.databases.get_mut(database) {
             view.record_report(ObservedStatus { status, sent_at, received_at: now });
         }
-        group.follow_majority(now);
+        group.update_majority(now);
         self.confirm_writes(now, &name);
-        self.pump(now, &name);
+        self.dispatch_waiting(now, &name);
     }
 
-    pub(super) fn report_failed(&mut self, now: Moment, database: &DatabaseName) {
+    pub(super) fn record_report_failure(&mut self, now: Moment, database: &DatabaseName) {
         let Some(name) = self.database_groups.get(database) else {
             return;
         };
@@ -63,16 +65,17 @@
         }
     }
 
-    pub(super) fn tend_groups(&mut self, now: Moment) {
+    pub(super) fn check_groups(&mut self, now: Moment) {
         let names: Vec<GroupName> = self.groups.keys().cloned().collect();
         for name in names {
-            self.tend_group(now, &name);
-            self.retire(now, &name);
+            self.notify_leader(now, &name);
+            self.retire_group(now, &name);
         }
     }
 
-    /// Tells the leader what this home sees and has done for a group.
-    pub(super) fn tend_group(&mut self, now: Moment, name: &GroupName) {
+    /// Sends the leader what is due for a group: a report on its members, the
+    /// confirmation of a fence or a suspicion of its primary.
+    pub(super) fn notify_leader(&mut self, now: Moment, name: &GroupName) {
         let has_lease = self.has_lease(now);
         let suspect_after = self.settings.suspect_after;
         let stall_after = self.settings.stall_after;
@@ -83,30 +86,30 @@
             && let Some(report) = group.member_report()
         {
             group.members_reported_at = now;
-            return self.send_leader(now, report);
+            return self.send_to_leader(now, report);
         }
-        if now.since(group.leader_notified_at) < LEADER_WORD_INTERVAL {
+        if now.since(group.leader_notified_at) < LEADER_NOTICE_INTERVAL {
             return;
         }
         if !group.is_steady() {
             group.leader_notified_at = now;
             let term = group.record.highest_term();
-            let word = PeerMessage::TermFenced { group: name.clone(), term };
-            return self.send_leader(now, word);
+            let message = PeerMessage::TermFenced { group: name.clone(), term };
+            return self.send_to_leader(now, message);
         }
         if has_lease && group.suspects_primary(now, suspect_after, stall_after) {
             group.leader_notified_at = now;
             let term = group.record.term;
-            let word = PeerMessage::SuspectPrimary { group: name.clone(), term };
-            self.send_leader(now, word);
+            let message = PeerMessage::SuspectPrimary { group: name.clone(), term };
+            self.send_to_leader(now, message);
         }
     }
 }
 
 impl GroupView {
-    /// Notes progress of replication: the highest position that a majority
-    /// holds, and when it last moved or had nothing to do.
-    fn follow_majority(&mut self, now: Moment) {
+    /// Updates the highest position that a majority holds, and the time at which
+    /// it last advanced or was level with the primary.
+    fn update_majority(&mut self, now: Moment) {
         let Some(last) = self.primary_position() else {
             return;
         };
@@ -126,25 +129,29 @@
 
     fn suspects_primary(&self, now: Moment, after: Duration, stall_after: Duration) -> bool {
         let silence = now.since(self.primary_reported_at);
-        let refused = self.primary_failures >= FAILURES_TO_SUSPECT && silence >= REFUSAL_SILENCE;
-        let stalled = now.since(self.majority_moved_at) >= stall_after && self.replicas_answer(now);
+        let refused =
+            self.primary_failures >= FAILURES_TO_SUSPECT && silence >= MIN_REFUSAL_SILENCE;
+        let stalled =
+            now.since(self.majority_moved_at) >= stall_after && self.has_reporting_majority(now);
         refused || silence >= after || stalled
     }
 
-    /// True if replicas report but do not get on: the primary is cut off from
-    /// them though not from this host.
-    fn replicas_answer(&self, now: Moment) -> bool {
-        let answering = self
+    /// True if enough replicas for a majority report to this host. If replication
+    /// stalls nevertheless, the primary is cut off from them but not from this
+    /// host.
+    fn has_reporting_majority(&self, now: Moment) -> bool {
+        let reporting = self
             .record
             .counting_members()
             .filter(|member| member.database != self.record.primary)
             .filter_map(|member| self.databases.get(&member.database)?.observed.as_ref())
             .filter(|observed| now.since(observed.received_at) < Duration::from_millis(500))
             .count();
-        answering + 1 >= self.record.majority()
+        reporting + 1 >= self.record.majority()
     }
 
-    /// Members that need an order or a change of standing, if there are any.
+    /// A report on the members that need an order or a change of standing; `None`
+    /// if there are none.
     fn member_report(&self) -> Option<PeerMessage> {
         if !self.is_steady() {
             return None;
--- a/crates/decisions/src/pg_host/request_flow.rs
+++ b/crates/decisions/src/pg_host/request_flow.rs
@@ -16,63 +16,68 @@
     sessions::StoredPosition,
 };
 
-/// Shortest time that a committed write waits for a majority.
+/// Minimum time that a committed write waits for a majority.
 const MAJORITY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Expected wait of reads from which on the primary helps out.
-const CROWDED_WAIT: Duration = Duration::from_millis(20);
-/// Waiting reads looked at in one go.
-const READ_SCAN: usize = 64;
+/// Expected wait of reads above which the primary serves some of them too.
+const OFFLOAD_WAIT: Duration = Duration::from_millis(20);
+/// Maximum number of waiting reads considered for one dispatch.
+const READ_SCAN_LIMIT: usize = 64;
 
-/// What the group says of a write that waits for a majority.
-enum WriteStanding {
+/// Status of a committed write that waits for a majority.
+enum WriteStatus {
     Held,
     Discarded,
     Waiting,
 }
 
 impl HostState {
-    pub(super) fn arrived(&mut self, now: Moment, arrival: RequestArrival) {
+    pub(super) fn handle_arrival(&mut self, now: Moment, arrival: RequestArrival) {
         let request = arrival.request;
-        let mark = match arrival.position_source {
-            PositionSource::Known(mark) => Some(mark),
+        let session_position = match arrival.position_source {
+            PositionSource::Known(position) => Some(position),
             PositionSource::PositionHosts(_) => None,
         };
-        let asks_keepers = matches!(arrival.position_source, PositionSource::PositionHosts(_))
+        let needs_lookup = matches!(arrival.position_source, PositionSource::PositionHosts(_))
             && arrival.kind != RequestKind::Write;
-        if let Some(homes) = self.forward_homes(&arrival) {
-            return self.effects.push(HostEffect::Forward(request, homes));
+        if let Some(gateways) = self.choose_forward_gateways(&arrival) {
+            return self.effects.push(HostEffect::Forward(request, gateways));
         }
         let refusal = self.check_arrival(now, &arrival);
         let deadline = arrival.deadline;
-        let record = RequestRecord { arrival, session_position: mark, phase: RequestPhase::Queued };
+        let record = RequestRecord { arrival, session_position, phase: RequestPhase::Queued };
         self.requests.insert(request, record);
         if let Some(result) = refusal {
-            return self.conclude(now, request, result, None);
+            return self.complete_request(now, request, result, None);
         }
         self.set_deadline(request, deadline);
-        if asks_keepers {
-            self.look_up_mark(now, request);
+        if needs_lookup {
+            self.look_up_position(now, request);
         } else {
             self.enqueue(now, request);
         }
     }
 
-    /// The homes of a group that this host is no home of, those of its own data
-    /// centre first, each request beginning with another one.
-    pub(super) fn forward_homes(&self, arrival: &RequestArrival) -> Option<Vec<GatewayAddress>> {
-        let is_home = self.groups.get(&arrival.group).is_some_and(|group| !group.retiring);
-        if arrival.forwarded || is_home {
+    /// The gateways to forward a request to, if this host is not one of its group's:
+    /// those of this data centre first, rotated by the number of the request.
+    pub(super) fn choose_forward_gateways(
+        &self,
+        arrival: &RequestArrival,
+    ) -> Option<Vec<GatewayAddress>> {
+        let is_gateway = self.groups.get(&arrival.group).is_some_and(|group| !group.retiring);
+        if arrival.forwarded || is_gateway {
             return None;
         }
         let record = self.control.groups.get(&arrival.group)?;
-        let known = record.gateways.iter().filter_map(|home| self.control.hosts.get(home));
-        let mut homes: Vec<&HostRecord> = known.collect();
-        let turn = arrival.request.0 as usize % homes.len().max(1);
-        homes.rotate_left(turn);
-        homes.sort_by_key(|home| home.data_centre != self.settings.record.data_centre);
-        let address =
-            |home: &HostRecord| GatewayAddress { host: home.id, address: home.caller_address };
-        (!homes.is_empty()).then(|| homes.into_iter().map(address).collect())
+        let known = record.gateways.iter().filter_map(|gateway| self.control.hosts.get(gateway));
+        let mut gateways: Vec<&HostRecord> = known.collect();
+        let rotation = arrival.request.0 as usize % gateways.len().max(1);
+        gateways.rotate_left(rotation);
+        gateways.sort_by_key(|gateway| gateway.data_centre != self.settings.record.data_centre);
+        let address = |gateway: &HostRecord| GatewayAddress {
+            host: gateway.id,
+            address: gateway.caller_address,
+        };
+        (!gateways.is_empty()).then(|| gateways.into_iter().map(address).collect())
     }
 
     fn check_arrival(&self, now: Moment, arrival: &RequestArrival) -> Option<ResultCode> {
@@ -81,7 +86,9 @@
             Some(group) if group.waiting_count() >= group.max_waiting => {
                 Some(ResultCode::QueueFull)
             }
-            Some(group) if self.would_be_late(now, group, arrival) => Some(ResultCode::QueueFull),
+            Some(group) if self.exceeds_wait_limit(now, group, arrival) => {
+                Some(ResultCode::QueueFull)
+            }
             Some(_) => None,
             None if self.control.groups.contains_key(&arrival.group) => {
                 Some(ResultCode::NoDatabase)
@@ -90,20 +97,22 @@
         }
     }
 
-    /// True if waiting would use up more than half of the request's time. A
-    /// longer queue would serve everybody just before the deadline, or after.
-    fn would_be_late(&self, now: Moment, group: &GroupView, arrival: &RequestArrival) -> bool {
+    /// True if the expected wait is more than half of the time to the deadline.
+    /// With a longer queue, all requests would be served just before their deadlines
+    /// or after them.
+    fn exceeds_wait_limit(&self, now: Moment, group: &GroupView, arrival: &RequestArrival) -> bool {
         let wait = group.expected_wait(arrival.kind == RequestKind::Write);
         now + wait * 2 > arrival.deadline
     }
 
-    /// True if the earliest answer that can be expected is past the deadline.
-    fn is_hopeless(&self, earliest: Moment, request: RequestId) -> bool {
+    /// True if the earliest expected answer is after the deadline.
+    fn misses_deadline(&self, earliest: Moment, request: RequestId) -> bool {
         let record = self.requests.get(&request);
         record.is_some_and(|record| earliest > record.arrival.deadline)
     }
 
-    /// Puts a request whose mark is settled into its group's queue.
+    /// Queues a request in its group once the lookup of its session's position, if
+    /// any, has ended.
     pub(super) fn enqueue(&mut self, now: Moment, request: RequestId) {
         let Some(record) = self.requests.get_mut(&request) else {
             return;
@@ -114,59 +123,60 @@
         let is_write = record.arrival.kind == RequestKind::Write;
         let caller = record.arrival.caller.clone();
         if deadline <= now {
-            // It came back from a database too late to be sent again.
-            let result = self.late_result(now, request);
-            return self.conclude(now, request, result, None);
+            // The request returned from a database too late to be sent again.
+            let result = self.timeout_result(now, request);
+            return self.complete_request(now, request, result, None);
         }
         let Some(group) = self.groups.get_mut(&name) else {
-            return self.conclude(now, request, ResultCode::NoDatabase, None);
+            return self.complete_request(now, request, ResultCode::NoDatabase, None);
         };
         match is_write {
             true => group.writes.push(&caller, request),
             false => group.reads.push(&caller, request),
         }
         self.set_deadline(request, deadline);
-        self.pump(now, &name);
+        self.dispatch_waiting(now, &name);
     }
 
-    pub(super) fn pump_all(&mut self, now: Moment) {
+    pub(super) fn dispatch_all_waiting(&mut self, now: Moment) {
         let names: Vec<GroupName> = self.groups.keys().cloned().collect();
         for name in names {
-            self.pump(now, &name);
+            self.dispatch_waiting(now, &name);
         }
     }
 
-    /// Sends waiting requests to databases, writes first.
-    pub(super) fn pump(&mut self, now: Moment, name: &GroupName) {
+    /// Dispatches waiting requests to databases, writes first.
+    pub(super) fn dispatch_waiting(&mut self, now: Moment, name: &GroupName) {
         if !self.has_lease(now) {
             return;
         }
-        while self.serve_next(now, name, true) {}
-        while self.serve_next(now, name, false) {}
+        while self.dispatch_next(now, name, true) {}
+        while self.dispatch_next(now, name, false) {}
     }
 
-    /// Sends the first waiting request for which a database is free.
-    fn serve_next(&mut self, now: Moment, name: &GroupName, is_write: bool) -> bool {
+    /// Dispatches the first waiting request for which a database is free, or ends
+    /// one that would miss its deadline. Returns false if there is neither.
+    fn dispatch_next(&mut self, now: Moment, name: &GroupName, is_write: bool) -> bool {
         let Some(group) = self.groups.get(name).filter(|group| group.has_free_connection(now))
         else {
             return false;
         };
-        // Writes all wait for the same database; reads need not.
+        // All writes wait for the same database; reads may use different ones.
         let upcoming = match is_write {
             true => group.writes.peek_next(1),
-            false => group.reads.peek_next(READ_SCAN),
+            false => group.reads.peek_next(READ_SCAN_LIMIT),
         };
         let earliest = now + group.min_service_time();
-        let hopeless = upcoming.iter().find(|request| self.is_hopeless(earliest, **request));
-        if let Some(request) = hopeless.copied() {
-            let result = self.late_result(now, request);
-            self.conclude(now, request, result, None);
+        let too_late = upcoming.iter().find(|request| self.misses_deadline(earliest, **request));
+        if let Some(request) = too_late.copied() {
+            let result = self.timeout_result(now, request);
+            self.complete_request(now, request, result, None);
             return true;
         }
-        let crowded = group.expected_wait(false) > CROWDED_WAIT;
-        let chosen = upcoming
-            .into_iter()
-            .find_map(|request| Some((request, self.choose(now, group, crowded, request)?)));
+        let offload_to_primary = group.expected_wait(false) > OFFLOAD_WAIT;
+        let chosen = upcoming.into_iter().find_map(|request| {
+            Some((request, self.choose_for_request(now, group, offload_to_primary, request)?))
+        });
         let Some((request, database)) = chosen else {
             return false;
         };
@@ -181,18 +191,18 @@
         true
     }
 
-    fn choose(
+    fn choose_for_request(
         &self,
         now: Moment,
         group: &GroupView,
-        crowded: bool,
+        offload_to_primary: bool,
         request: RequestId,
     ) -> Option<DatabaseName> {
         let record = self.requests.get(&request)?;
         let query = RouteQuery {
             now,
             kind: record.arrival.kind,
-            offload_to_primary: crowded,
+            offload_to_primary,
             transaction: record.arrival.transaction,
             position: record.session_position,
             primary: group.confirmed_primary(),
@@ -231,7 +241,12 @@
         self.effects.push(HostEffect::Dispatch { request, database, address, is_primary });
     }
 
-    pub(super) fn executed(&mut self, now: Moment, request: RequestId, report: ExecutionReport) {
+    pub(super) fn handle_execution(
+        &mut self,
+        now: Moment,
+        request: RequestId,
+        report: ExecutionReport,
+    ) {
         let Some(record) = self.requests.get(&request) else {
             return;
         };
@@ -241,25 +256,27 @@
         let name = record.arrival.group.clone();
         let kind = record.arrival.kind;
         let transaction = record.arrival.transaction;
-        self.release(now, &name, &database, since, report, transaction);
+        self.release_connection(now, &name, &database, since, report, transaction);
         match report {
             ExecutionReport::Read(position) => {
-                self.read_done(now, request, &name, &database, term, position);
+                self.finish_read(now, request, &name, &database, term, position);
+            }
+            ExecutionReport::Written(position) => {
+                self.await_majority(now, request, &name, position);
             }
-            ExecutionReport::Written(position) => self.written(now, request, &name, position),
             ExecutionReport::RolledBack => {
-                self.conclude(now, request, ResultCode::Done, None);
+                self.complete_request(now, request, ResultCode::Done, None);
             }
             ExecutionReport::NotRun => self.enqueue(now, request),
             ExecutionReport::ConnectionLost if kind == RequestKind::Write => {
-                self.conclude(now, request, ResultCode::ConnectionLost, None);
+                self.complete_request(now, request, ResultCode::ConnectionLost, None);
             }
             ExecutionReport::ConnectionLost => self.enqueue(now, request),
         }
-        self.pump(now, &name);
+        self.dispatch_waiting(now, &name);
     }
 
-    fn release(
+    fn release_connection(
         &mut self,
         now: Moment,
         name: &GroupName,
@@ -275,7 +292,7 @@
         view.in_use = view.in_use.saturating_sub(1);
         view.pending_statements = view.pending_statements.saturating_sub(u32::from(!transaction));
         match report {
-            // How long a transaction lasts is the caller's doing.
+            // The length of a transaction depends on the caller, not on the database.
             ExecutionReport::Read(_)
             | ExecutionReport::Written(_)
             | ExecutionReport::RolledBack
@@ -289,9 +306,9 @@
         }
     }
 
-    /// A read at the primary counts only if that is still the primary when the
-    /// answer goes out; otherwise it is served again.
-    fn read_done(
+    /// Completes a read. A read at the primary is valid only if that is still the
+    /// primary when the answer is sent; otherwise it is queued again.
+    fn finish_read(
         &mut self,
         now: Moment,
         request: RequestId,
@@ -302,7 +319,7 @@
     ) {
         let has_lease = self.has_lease(now);
         let Some(group) = self.groups.get(name) else {
-            return self.conclude(now, request, ResultCode::NoDatabase, None);
+            return self.complete_request(now, request, ResultCode::NoDatabase, None);
         };
         let at_primary = *database == group.record.primary || term != group.record.term;
         let confirmed = has_lease && group.is_steady() && term == group.record.term;
@@ -312,22 +329,20 @@
         let Some(record) = self.requests.get(&request) else {
             return;
         };
-        let mark = position.max(record.session_position);
-        let stored = match (&record.arrival.session, record.session_position, mark) {
-            (Some(session), None, Some(mark)) => Some(StoredPosition {
-                session: session.clone(),
-                group: name.clone(),
-                position: mark,
-            }),
+        let session_position = position.max(record.session_position);
+        let stored = match (&record.arrival.session, record.session_position, session_position) {
+            (Some(session), None, Some(position)) => {
+                Some(StoredPosition { session: session.clone(), group: name.clone(), position })
+            }
             _ => None,
         };
         if let Some(stored) = stored {
-            self.send_mark(now, request, stored);
+            self.send_position(now, request, stored);
         }
-        self.conclude(now, request, ResultCode::Done, mark);
+        self.complete_request(now, request, ResultCode::Done, session_position);
     }
 
-    fn written(
+    fn await_majority(
         &mut self,
         now: Moment,
         request: RequestId,
@@ -342,13 +357,14 @@
         record.arrival.deadline = deadline;
         self.set_deadline(request, deadline);
         let Some(group) = self.groups.get_mut(name) else {
-            return self.conclude(now, request, ResultCode::ReplacedInFlight, None);
+            return self.complete_request(now, request, ResultCode::ReplacedInFlight, None);
         };
         group.unconfirmed.insert(UnconfirmedWrite { position, request });
         self.confirm_writes(now, name);
     }
 
-    /// Answers the writes that a majority holds by now.
+    /// Answers the committed writes that a majority now holds, and those that were
+    /// discarded.
     pub(super) fn confirm_writes(&mut self, now: Moment, name: &GroupName) {
         if !self.has_lease(now) {
             return;
@@ -358,10 +374,10 @@
         };
         let mut settled = Vec::new();
         for write in &group.unconfirmed {
-            match group.write_standing(write.position) {
-                WriteStanding::Waiting => break,
-                WriteStanding::Held => settled.push((*write, true)),
-                WriteStanding::Discarded => settled.push((*write, false)),
+            match group.write_status(write.position) {
+                WriteStatus::Waiting => break,
+                WriteStatus::Held => settled.push((*write, true)),
+                WriteStatus::Discarded => settled.push((*write, false)),
             }
         }
         for (write, _) in &settled {
@@ -369,22 +385,22 @@
         }
         for (write, held) in settled {
             if held {
-                self.store_mark(now, write.request, write.position);
+                self.store_position(now, write.request, write.position);
             } else {
-                self.conclude(now, write.request, ResultCode::WriteDiscarded, None);
+                self.complete_request(now, write.request, ResultCode::WriteDiscarded, None);
             }
         }
     }
 
-    /// Ends a request whose caller is gone. A running one keeps its connection
-    /// until its execution is reported.
-    pub(super) fn abandoned(&mut self, now: Moment, request: RequestId) {
+    /// Ends a request whose caller no longer waits. A running one keeps its
+    /// connection until its execution is reported.
+    pub(super) fn abandon_request(&mut self, now: Moment, request: RequestId) {
         let running = self
             .requests
             .get(&request)
             .is_some_and(|record| matches!(record.phase, RequestPhase::Running { .. }));
         if !running {
-            self.conclude(now, request, ResultCode::Cancelled, None);
+            self.complete_request(now, request, ResultCode::Cancelled, None);
         }
     }
 
@@ -394,12 +410,12 @@
                 break;
             }
             self.deadlines.pop_first();
-            self.expire(now, deadline.request);
+            self.expire_request(now, deadline.request);
         }
     }
 
-    fn expire(&mut self, now: Moment, request: RequestId) {
-        self.note_late_lookup(now, request);
+    fn expire_request(&mut self, now: Moment, request: RequestId) {
+        self.record_silent_hosts(now, request);
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
@@ -410,21 +426,21 @@
                 self.enqueue(now, request);
             }
             RequestPhase::Queued if deadline <= now => {
-                let result = self.late_result(now, request);
-                self.conclude(now, request, result, None);
+                let result = self.timeout_result(now, request);
+                self.complete_request(now, request, result, None);
             }
             RequestPhase::AwaitingMajority { .. } if deadline <= now => {
-                self.conclude(now, request, ResultCode::MajorityLate, None);
+                self.complete_request(now, request, ResultCode::MajorityLate, None);
             }
             RequestPhase::StoringPosition { until, .. } if *until <= now => {
-                self.conclude(now, request, ResultCode::MarkNotStored, None);
+                self.complete_request(now, request, ResultCode::MarkNotStored, None);
             }
             _ => {}
         }
     }
 
-    /// Why a request waited too long.
-    fn late_result(&self, now: Moment, request: RequestId) -> ResultCode {
+    /// The result code of a request that waited too long.
+    fn timeout_result(&self, now: Moment, request: RequestId) -> ResultCode {
         let group =
             self.requests.get(&request).and_then(|record| self.groups.get(&record.arrival.group));
         match group {
@@ -434,24 +450,24 @@
         }
     }
 
-    /// Takes a request out of its group's books.
-    pub(super) fn forget(&mut self, request: RequestId) -> Option<RequestRecord> {
+    /// Removes a request from this host and from its group's queues.
+    pub(super) fn remove_request(&mut self, request: RequestId) -> Option<RequestRecord> {
         let record = self.requests.remove(&request)?;
         if let Some(group) = self.groups.get_mut(&record.arrival.group) {
-            group.forget(request, &record);
+            group.remove_request(request, &record);
         }
         Some(record)
     }
 
-    /// Ends a request and forgets it.
-    pub(super) fn conclude(
+    /// Removes a request and returns its result.
+    pub(super) fn complete_request(
         &mut self,
         _now: Moment,
         request: RequestId,
         result: ResultCode,
-        mark: Option<LogPosition>,
+        session_position: Option<LogPosition>,
     ) {
-        let Some(record) = self.forget(request) else {
+        let Some(record) = self.remove_request(request) else {
             return;
         };
         let mut retry_after = None;
@@ -461,33 +477,33 @@
             let is_write = record.arrival.kind == RequestKind::Write;
             retry_after = Some(group.expected_wait(is_write));
         }
-        let conclusion = RequestResult { result, session_position: mark, retry_after };
-        self.effects.push(HostEffect::Complete(request, conclusion));
+        let result = RequestResult { result, session_position, retry_after };
+        self.effects.push(HostEffect::Complete(request, result));
     }
 }
 
 impl GroupView {
-    fn write_standing(&self, position: LogPosition) -> WriteStanding {
+    fn write_status(&self, position: LogPosition) -> WriteStatus {
         if position.term == self.record.term {
             return match self.is_held_by_majority(position) {
-                true => WriteStanding::Held,
-                false => WriteStanding::Waiting,
+                true => WriteStatus::Held,
+                false => WriteStatus::Waiting,
             };
         }
-        // The write was sent to a primary that was replaced since. What becomes
-        // of it is certain only once a majority holds an entry of the new term:
-        // before that a further change could still choose another branch.
-        let Some(status) = self.settled_status() else {
-            return WriteStanding::Waiting;
+        // The write was sent to a primary that has been replaced since. Its outcome
+        // is certain only once a majority holds an entry of the new term: before
+        // that, another change of primary could still choose a different branch.
+        let Some(status) = self.settled_primary_status() else {
+            return WriteStatus::Waiting;
         };
         match status.covers(position) {
-            true => WriteStanding::Held,
-            false => WriteStanding::Discarded,
+            true => WriteStatus::Held,
+            false => WriteStatus::Discarded,
         }
     }
 
     /// The primary's report, if a majority holds an entry of its term.
-    fn settled_status(&self) -> Option<&DatabaseStatus> {
+    fn settled_primary_status(&self) -> Option<&DatabaseStatus> {
         let view = self.databases.get(&self.record.primary)?;
         let status = &view.observed.as_ref()?.status;
         let starts = status.history.starts();
@@ -497,7 +513,7 @@
         (written && self.is_held_by_majority(first)).then_some(status)
     }
 
-    fn forget(&mut self, request: RequestId, record: &RequestRecord) {
+    fn remove_request(&mut self, request: RequestId, record: &RequestRecord) {
         let caller = &record.arrival.caller;
         match &record.phase {
             RequestPhase::Queued => {
