--- a/crates/decisions/tests/sabotage_noticed.rs
+++ b/crates/decisions/tests/sabotage_noticed.rs
@@ -1,26 +1,26 @@
-//! The checks of the schedules notice each safeguard that is taken away.
+//! The checks of the fault schedules detect each safeguard that is removed.
 //!
-//! A fake that lies stands for a missing safeguard: databases that ignore
-//! fences, replicas that claim what they do not hold, reports without
-//! branches, disks that forget.
+//! A safeguard is removed by a fake that misbehaves: databases that ignore
+//! fences, replicas that report positions they do not hold, reports without
+//! branches, disks that lose synced records.
 
 mod schedule;
 
-use schedule::{Sabotage, ScheduleRun, broken_seeds};
+use schedule::{Sabotage, ScheduleRun, failing_seeds};
 
-/// Seeds within which each sabotage must show.
+/// Number of seeds, of which at least one must detect each sabotage.
 const SEEDS: u64 = 400;
 
 fn assert_noticed(sabotage: Sabotage, expected: &str) {
-    let (broken, _, _) =
-        broken_seeds(0..SEEDS, |seed| ScheduleRun::new(seed, 3, 3, sabotage).run());
-    let noticed: Vec<u64> = broken
+    let (failing, _, _) =
+        failing_seeds(0..SEEDS, |seed| ScheduleRun::new(seed, 3, 3, sabotage).run());
+    let noticed: Vec<u64> = failing
         .iter()
-        .filter(|(_, verdict)| verdict.broken.iter().any(|text| text.contains(expected)))
+        .filter(|(_, verdict)| verdict.violations.iter().any(|text| text.contains(expected)))
         .map(|(seed, _)| *seed)
         .collect();
     println!("{sabotage:?} shows {expected:?} with seeds {noticed:?}");
-    assert!(!noticed.is_empty(), "{sabotage:?} never shows {expected:?}: {broken:?}");
+    assert!(!noticed.is_empty(), "{sabotage:?} never shows {expected:?}: {failing:?}");
 }
 
 #[test]
--- a/crates/decisions/tests/schedule/fake_database.rs
+++ b/crates/decisions/tests/schedule/fake_database.rs
@@ -14,13 +14,13 @@
 }
 
 impl FakeEntry {
-    /// The entry that a promotion writes.
+    /// The entry that a promotion appends.
     fn marker(term: u64) -> Self {
         Self { term, operation: usize::MAX, session: usize::MAX, number: 0 }
     }
 }
 
-/// A database as the contract of `docs/UPSTREAM.md` sees it.
+/// A database that follows the contract of `docs/UPSTREAM.md`.
 #[derive(Debug, Clone)]
 pub struct FakeDatabase {
     pub role: DatabaseRole,
@@ -29,11 +29,11 @@
     pub history: BranchHistory,
     pub log: Vec<FakeEntry>,
     pub follows: Option<usize>,
-    /// The process is gone.
+    /// The process does not run.
     pub stopped: bool,
-    /// Hosts get no answers.
+    /// Hosts get no answers from it.
     pub cut_from_hosts: bool,
-    /// Replication does not flow.
+    /// It does not replicate, from or to other databases.
     pub cut_from_group: bool,
 }
 
@@ -79,13 +79,13 @@
         !self.stopped && !self.cut_from_group
     }
 
-    /// Highest number of a session in the log.
+    /// Highest number that a session wrote to the log.
     pub fn highest(&self, session: usize) -> u64 {
         let own = self.log.iter().filter(|entry| entry.session == session);
         own.map(|entry| entry.number).max().unwrap_or(0)
     }
 
-    /// Follows `primary`: drops what is not on its branch.
+    /// Follows `primary`, after truncating the entries that are not on its branch.
     pub fn follow(&mut self, primary_index: usize, primary: &FakeDatabase) {
         let shared = self.log.iter().zip(&primary.log).take_while(|(a, b)| a == b).count();
         self.log.truncate(shared);
@@ -96,8 +96,8 @@
         self.follows = Some(primary_index);
     }
 
-    /// Takes an order other than `Follow`; `None` if it is refused.
-    pub fn obey(&mut self, order: &DatabaseOrder, ignores_fences: bool) -> Option<()> {
+    /// Applies an order other than `Follow`; `None` if it is refused.
+    pub fn apply_order(&mut self, order: &DatabaseOrder, ignores_fences: bool) -> Option<()> {
         match order {
             DatabaseOrder::Report | DatabaseOrder::Follow { .. } => {}
             DatabaseOrder::Fence { term } => {
--- a/crates/decisions/tests/schedule/mod.rs
+++ b/crates/decisions/tests/schedule/mod.rs
@@ -1,4 +1,5 @@
-//! Small fakes around real host states: a clock, a lossy network, databases.
+//! A simulation around real host states: a fake clock, a lossy network and fake
+//! databases.
 
 #![allow(dead_code, missing_docs)]
 
@@ -14,13 +15,14 @@
 pub use schedule_run::{Sabotage, ScheduleRun};
 pub use schedule_verdict::ScheduleVerdict;
 
-/// Runs seeds on all cores and returns those that broke something.
-pub fn broken_seeds(
+/// Runs all seeds, in parallel on all cores. Returns the seeds with violations, and
+/// the numbers of acknowledged writes and of changes of primary over all seeds.
+pub fn failing_seeds(
     seeds: std::ops::Range<u64>,
     run: impl Fn(u64) -> ScheduleVerdict + Sync,
 ) -> (Vec<(u64, ScheduleVerdict)>, u64, u64) {
     let next = AtomicU64::new(seeds.start);
-    let broken = Mutex::new(Vec::new());
+    let failing = Mutex::new(Vec::new());
     let acknowledged = AtomicU64::new(0);
     let changes = AtomicU64::new(0);
     let workers = std::thread::available_parallelism().map_or(2, usize::from);
@@ -34,15 +36,15 @@
                     }
                     let verdict = run(seed);
                     acknowledged.fetch_add(verdict.acknowledged as u64, Ordering::Relaxed);
-                    changes.fetch_add(verdict.changes_of_primary, Ordering::Relaxed);
-                    if !verdict.broken.is_empty() {
-                        broken.lock().unwrap().push((seed, verdict));
+                    changes.fetch_add(verdict.primary_changes, Ordering::Relaxed);
+                    if !verdict.violations.is_empty() {
+                        failing.lock().unwrap().push((seed, verdict));
                     }
                 }
             });
         }
     });
-    let mut broken = broken.into_inner().unwrap();
-    broken.sort_by_key(|(seed, _)| *seed);
-    (broken, acknowledged.into_inner(), changes.into_inner())
+    let mut failing = failing.into_inner().unwrap();
+    failing.sort_by_key(|(seed, _)| *seed);
+    (failing, acknowledged.into_inner(), changes.into_inner())
 }
--- a/crates/decisions/tests/schedule/schedule_run.rs
+++ b/crates/decisions/tests/schedule/schedule_run.rs
@@ -30,6 +30,7 @@
     schedule_verdict::{CallerOperation, ScheduleVerdict},
 };
 
+/// Microseconds in a millisecond; all times of a schedule are in microseconds.
 const MILLI: u64 = 1_000;
 const TICK: u64 = 10 * MILLI;
 const REPORT_INTERVAL: u64 = 20 * MILLI;
@@ -38,25 +39,26 @@
 const CALLERS_UNTIL: u64 = 9_000 * MILLI;
 const END: u64 = 13_000 * MILLI;
 const SESSIONS: usize = 4;
-/// Actions after which a schedule counts as a storm that feeds itself.
-const MOST_ACTIONS: u64 = 200_000;
+/// Number of actions above which a schedule fails as a message storm.
+const MAX_ACTIONS: u64 = 200_000;
 const EXECUTION_TIMEOUT: u64 = 1_000 * MILLI;
 
-/// What is broken on purpose, to see that the checks notice.
+/// A safeguard that is removed on purpose, to test that the checks detect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sabotage {
     Nothing,
-    /// Databases ignore fences, and homes are taken to have fenced at once.
-    /// Either half alone is made good by the other.
+    /// Databases ignore fences, and the leader gets forged fence confirmations
+    /// for all gateways at once. With only one of the two, the other fence still
+    /// protects the writes.
     NoFences,
-    /// Databases claim to hold what their primary holds.
+    /// Replicas report the position of their primary as their own.
     ClaimAhead,
-    /// Databases report one branch for all terms.
+    /// Databases report a history in which all terms start at offset 0.
     FlattenBranches,
-    /// Reads lose their connection as soon as they are sent past their
-    /// deadline, as a caller's task does that has no time left.
+    /// Reads lose their connection when their deadline is reached, and shortly
+    /// after each dispatch past it, like a caller's task that has no time left.
     SlowReads,
-    /// A disk forgets what it was told to sync.
+    /// Disks lose the records that they reported as synced.
     ForgetSyncs,
 }
 
@@ -68,7 +70,7 @@
         message: PeerMessage,
         epoch: u64,
     },
-    Forge {
+    ForgeFence {
         from: usize,
         to: usize,
         term: u64,
@@ -122,8 +124,8 @@
     Replicate(usize),
     Announce(usize),
     NextOperation(usize),
-    Operate,
-    Fault,
+    RunOperators,
+    InjectFault,
     RestartHost {
         host: usize,
         wiped: bool,
@@ -137,7 +139,7 @@
     state: Option<HostState>,
     journal: Vec<JournalRecord>,
     epoch: u64,
-    /// Offset of its clock, so that hosts' clocks never agree.
+    /// Offset of its clock in microseconds; the hosts' clocks differ.
     skew: u64,
     paused: bool,
     delayed: Vec<Action>,
@@ -155,8 +157,8 @@
     rng: ChaCha8Rng,
     hosts: Vec<FakeHost>,
     databases: Vec<FakeDatabase>,
-    cut: BTreeSet<(usize, usize)>,
-    /// Hosts that do not reach a database which others reach.
+    cut_links: BTreeSet<(usize, usize)>,
+    /// Pairs of a host and a database that the host cannot reach.
     cut_paths: BTreeSet<(usize, usize)>,
     operations: Vec<CallerOperation>,
     running: BTreeMap<(usize, RequestId), usize>,
@@ -164,8 +166,8 @@
     next_request: u64,
     sabotage: Sabotage,
     leaders: BTreeMap<u64, BTreeSet<HostId>>,
-    states: BTreeMap<u64, u64>,
-    winners: BTreeMap<u64, BTreeSet<Arc<str>>>,
+    state_hashes: BTreeMap<u64, u64>,
+    applied_plans: BTreeMap<u64, BTreeSet<Arc<str>>>,
     plans: BTreeMap<u64, (Arc<str>, u64)>,
     answers: BTreeMap<Arc<str>, (ResultCode, u64)>,
     next_ticket: u64,
@@ -220,7 +222,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             hosts: Vec::new(),
             databases: (0..3).map(FakeDatabase::new).collect(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             cut_paths: BTreeSet::new(),
             operations: Vec::new(),
             running: BTreeMap::new(),
@@ -228,8 +230,8 @@
             next_request: 0,
             sabotage,
             leaders: BTreeMap::new(),
-            states: BTreeMap::new(),
-            winners: BTreeMap::new(),
+            state_hashes: BTreeMap::new(),
+            applied_plans: BTreeMap::new(),
             plans: BTreeMap::new(),
             answers: BTreeMap::new(),
             next_ticket: 0,
@@ -264,25 +266,26 @@
         for session in 0..SESSIONS {
             run.after(1_500 * MILLI, Action::NextOperation(session));
         }
-        run.after(800 * MILLI, Action::Operate);
-        run.after(FAULTS_FROM, Action::Fault);
+        run.after(800 * MILLI, Action::RunOperators);
+        run.after(FAULTS_FROM, Action::InjectFault);
         run
     }
 
-    /// Runs to the end and judges.
+    /// Runs the schedule to its end and returns the violations found.
     pub fn run(mut self) -> ScheduleVerdict {
         while let Some(((at, _), action)) = self.queue.pop_first() {
             if at > END {
                 break;
             }
             self.now = at;
-            self.perform(action);
-            if self.sequence > MOST_ACTIONS {
-                self.verdict.note(format!("storm of messages at {} ms", self.now / MILLI));
+            self.run_action(action);
+            if self.sequence > MAX_ACTIONS {
+                self.verdict
+                    .record_violation(format!("storm of messages at {} ms", self.now / MILLI));
                 break;
             }
         }
-        self.judge();
+        self.check_end_state();
         self.verdict
     }
 
@@ -308,14 +311,14 @@
             return;
         };
         let effects = state.step(now, event);
-        self.observe(host);
+        self.check_step(host);
         for effect in effects {
-            self.carry_out(host, effect);
+            self.execute_effect(host, effect);
         }
     }
 
-    /// Checks what must hold after every step.
-    fn observe(&mut self, host: usize) {
+    /// Checks the invariants that hold after every step of a host.
+    fn check_step(&mut self, host: usize) {
         let now = self.moment(host);
         let fake = &mut self.hosts[host];
         let Some(state) = &fake.state else {
@@ -330,7 +333,7 @@
         }
         if state.has_lease(now) {
             if control.version < fake.served_version {
-                self.verdict.note(format!("host {host} serves an older version again"));
+                self.verdict.record_violation(format!("host {host} serves an older version again"));
             }
             fake.served_version = fake.served_version.max(control.version);
         }
@@ -340,18 +343,21 @@
         fake.seen_applied = control.applied;
         let trail = control.audit.last().map(|record| record.chain.clone());
         let hash = hash_of(&format!("{:?}{}{trail:?}", control.groups, control.version));
-        let known = *self.states.entry(control.applied).or_insert(hash);
+        let known = *self.state_hashes.entry(control.applied).or_insert(hash);
         if known != hash {
-            self.verdict.note(format!("two states after entry {}", control.applied));
+            self.verdict.record_violation(format!(
+                "hosts differ in their state after entry {}",
+                control.applied
+            ));
         }
     }
 
-    fn carry_out(&mut self, host: usize, effect: HostEffect) {
+    fn execute_effect(&mut self, host: usize, effect: HostEffect) {
         let epoch = self.hosts[host].epoch;
         match effect {
-            HostEffect::Send(to, message) => self.send(host, to.0 as usize, message),
+            HostEffect::Send(to, message) => self.send_message(host, to.0 as usize, message),
             HostEffect::Persist { number, records } => {
-                // A journal syncs one batch after the other.
+                // A journal syncs its batches one after the other.
                 let delay = self.rng.random_range(500..4_000);
                 let synced_at = self.hosts[host].synced_at.max(self.now) + delay;
                 self.hosts[host].synced_at = synced_at;
@@ -372,14 +378,14 @@
                 let database = database_index(&database);
                 if let (Sabotage::NoFences, DatabaseOrder::Fence { term }) = (self.sabotage, &order)
                 {
-                    self.forge_fences(host, *term, epoch);
+                    self.forge_fence_messages(host, *term, epoch);
                 }
                 let mut delay = self.delay();
                 if self.sabotage == Sabotage::NoFences
                     && matches!(order, DatabaseOrder::Follow { .. })
                 {
-                    // A slow order keeps a replica with the old primary long
-                    // enough for the missing fence to show.
+                    // The delay keeps a replica at the old primary long enough
+                    // for the missing fence to be detected.
                     delay += 400 * MILLI;
                 }
                 self.after(delay, Action::Order { host, database, order, epoch });
@@ -389,24 +395,26 @@
                 let delay = self.delay();
                 self.after(delay, Action::Execute { host, request, database, epoch });
             }
-            HostEffect::Forward(request, homes) => self.forward(host, request, &homes),
-            HostEffect::Complete(request, conclusion) => {
-                self.concluded(host, request, conclusion.result);
+            HostEffect::Forward(request, gateways) => {
+                self.forward_request(host, request, &gateways);
             }
-            HostEffect::Answer { ticket, answer } => self.answered(ticket, answer),
+            HostEffect::Complete(request, result) => {
+                self.complete_operation(host, request, result.result);
+            }
+            HostEffect::Answer { ticket, answer } => self.handle_answer(ticket, answer),
             HostEffect::AnnouncementRefused { .. }
             | HostEffect::SetDraining(_)
             | HostEffect::Log(_) => {}
         }
     }
 
-    fn forge_fences(&mut self, to: usize, term: u64, epoch: u64) {
+    fn forge_fence_messages(&mut self, to: usize, term: u64, epoch: u64) {
         for from in 0..self.hosts.len() {
-            self.after(1, Action::Forge { from, to, term, epoch });
+            self.after(1, Action::ForgeFence { from, to, term, epoch });
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, message: PeerMessage) {
+    fn send_message(&mut self, from: usize, to: usize, message: PeerMessage) {
         let epoch = self.hosts[to].epoch;
         let copies = match self.rng.random_range(0..100) {
             0..1 => 0,
@@ -419,7 +427,7 @@
         }
     }
 
-    fn perform(&mut self, action: Action) {
+    fn run_action(&mut self, action: Action) {
         if let Some(host) = action.host()
             && self.hosts[host].paused
         {
@@ -436,11 +444,11 @@
                 self.after(TICK, Action::Tick(host));
             }
             Action::Deliver { from, to, message, .. } => {
-                if !self.cut.contains(&(from, to)) {
+                if !self.cut_links.contains(&(from, to)) {
                     self.step(to, HostEvent::Peer(HostId(from as u32), message));
                 }
             }
-            Action::Forge { from, to, term, .. } => {
+            Action::ForgeFence { from, to, term, .. } => {
                 let message = PeerMessage::TermFenced { group: group(), term };
                 self.step(to, HostEvent::Peer(HostId(from as u32), message));
             }
@@ -467,14 +475,14 @@
                 self.after(REPORT_INTERVAL, Action::AskReport { host, database, epoch, watch });
             }
             Action::Order { host, database, order, epoch } => {
-                self.order(host, database, &order, epoch);
+                self.deliver_order(host, database, &order, epoch);
             }
             Action::Ordered { host, database, status, .. } => {
                 let database = database_name(database);
                 self.step(host, HostEvent::OrderAnswered { database, status });
             }
             Action::Execute { host, request, database, epoch } => {
-                self.execute(host, request, database, epoch);
+                self.execute_request(host, request, database, epoch);
             }
             Action::Executed { host, request, report, found, .. } => {
                 if let Some(operation) = self.running.get(&(host, request)) {
@@ -482,14 +490,14 @@
                 }
                 self.step(host, HostEvent::RequestExecuted(request, report));
             }
-            Action::Replicate(database) => self.replicate(database),
-            Action::Announce(database) => self.announce(database),
-            Action::NextOperation(session) => self.next_operation(session),
-            Action::Operate => self.operate(),
-            Action::Fault => self.fault(),
-            Action::RestartHost { host, wiped } => self.restart(host, wiped),
+            Action::Replicate(database) => self.replicate_log(database),
+            Action::Announce(database) => self.announce_database(database),
+            Action::NextOperation(session) => self.start_operation(session),
+            Action::RunOperators => self.run_operators(),
+            Action::InjectFault => self.inject_fault(),
+            Action::RestartHost { host, wiped } => self.restart_host(host, wiped),
             Action::HealLinks => {
-                self.cut.clear();
+                self.cut_links.clear();
                 self.cut_paths.clear();
             }
             Action::HealDatabase(database) => {
@@ -500,13 +508,13 @@
             Action::Unpause(host) => {
                 self.hosts[host].paused = false;
                 for action in std::mem::take(&mut self.hosts[host].delayed) {
-                    self.perform(action);
+                    self.run_action(action);
                 }
             }
         }
     }
 
-    /// A status as the database reports it, or as sabotage makes it lie.
+    /// The status that a database reports, falsified by some sabotages.
     fn status_of(&self, database: usize) -> DatabaseStatus {
         let fake = &self.databases[database];
         let mut status = fake.status();
@@ -543,7 +551,7 @@
         self.after(delay, Action::Reported { host, database, sent_at, status, epoch, watch });
     }
 
-    fn order(&mut self, host: usize, database: usize, order: &DatabaseOrder, epoch: u64) {
+    fn deliver_order(&mut self, host: usize, database: usize, order: &DatabaseOrder, epoch: u64) {
         if !self.databases[database].answers() || self.cut_paths.contains(&(host, database)) {
             return;
         }
@@ -560,10 +568,10 @@
             }
         }
         let ignores = self.sabotage == Sabotage::NoFences;
-        if self.databases[database].obey(order, ignores).is_some() {
+        if self.databases[database].apply_order(order, ignores).is_some() {
             let mut status = self.status_of(database);
             if ignores {
-                // It says that it fenced, but goes on as before.
+                // The database confirms the fence but keeps accepting writes.
                 if let DatabaseOrder::Fence { term } = order {
                     status.fenced_below = *term;
                 }
@@ -574,7 +582,7 @@
         }
     }
 
-    fn execute(&mut self, host: usize, request: RequestId, database: usize, epoch: u64) {
+    fn execute_request(&mut self, host: usize, request: RequestId, database: usize, epoch: u64) {
         let Some(operation) = self.running.get(&(host, request)).copied() else {
             return;
         };
@@ -607,7 +615,7 @@
             }
             None => (ExecutionReport::Read(Some(fake.position())), fake.highest(session)),
         };
-        // The answer of one in fifty is lost on the way.
+        // One answer in fifty is lost on its way to the host.
         let lost = self.rng.random_range(0..50) == 0;
         let (report, delay) = match lost {
             true => (ExecutionReport::ConnectionLost, 30 * MILLI),
@@ -616,7 +624,7 @@
         self.after(delay, Action::Executed { host, request, report, found, epoch });
     }
 
-    fn replicate(&mut self, database: usize) {
+    fn replicate_log(&mut self, database: usize) {
         let delay = self.rng.random_range(3 * MILLI..12 * MILLI);
         self.after(delay, Action::Replicate(database));
         let fake = &self.databases[database];
@@ -633,7 +641,7 @@
         }
     }
 
-    fn announce(&mut self, database: usize) {
+    fn announce_database(&mut self, database: usize) {
         self.after(300 * MILLI, Action::Announce(database));
         let fake = &self.databases[database];
         if !fake.answers() {
@@ -654,28 +662,29 @@
         self.step(host, HostEvent::Announced(announcement));
     }
 
-    fn judge(&mut self) {
+    fn check_end_state(&mut self) {
         let newest = self.databases.iter().filter(|database| database.accepts_writes());
         let Some(primary) = newest.max_by_key(|database| database.term).cloned() else {
-            return self.verdict.note("no primary at the end".to_owned());
+            return self.verdict.record_violation("no primary at the end".to_owned());
         };
         let operations = std::mem::take(&mut self.operations);
         self.verdict.check_history(&operations, &primary);
-        // Callers may all wait for one host that is the last to be served again,
-        // so answers count, not questions.
+        // Late operations are selected by their answers and not by when they were
+        // sent: all callers may be waiting for the host that recovers last.
         let late = operations
             .iter()
             .filter(|o| o.answered_at.is_some_and(|at| at > CALLERS_UNTIL - 1_000 * MILLI))
             .filter(|o| o.outcome == Outcome::Ran)
             .count();
         if late == 0 {
-            self.verdict.note("nothing is served after all faults are healed".to_owned());
+            self.verdict
+                .record_violation("nothing is served after all faults are healed".to_owned());
         }
     }
 }
 
 impl Action {
-    /// The host whose pause delays the action.
+    /// The host whose pause delays this action.
     fn host(&self) -> Option<usize> {
         match self {
             Self::Tick(host)
@@ -688,11 +697,12 @@
         }
     }
 
-    /// The run of a host to which the action belongs.
+    /// The host and the epoch in which this action is valid; it is dropped after a
+    /// crash of the host.
     fn epoch(&self) -> Option<(usize, u64)> {
         match self {
             Self::Deliver { to: host, epoch, .. }
-            | Self::Forge { to: host, epoch, .. }
+            | Self::ForgeFence { to: host, epoch, .. }
             | Self::Persisted { host, epoch, .. }
             | Self::AskReport { host, epoch, .. }
             | Self::Reported { host, epoch, .. }
--- a/crates/decisions/tests/schedule/schedule_run/callers.rs
+++ b/crates/decisions/tests/schedule/schedule_run/callers.rs
@@ -15,11 +15,12 @@
 use crate::schedule::{fake_database::FakeDatabase, schedule_verdict::CallerOperation};
 
 impl ScheduleRun {
-    pub(super) fn next_operation(&mut self, session: usize) {
+    pub(super) fn start_operation(&mut self, session: usize) {
         if self.now >= CALLERS_UNTIL {
             return;
         }
-        // Roaming callers all end up waiting on the other side of a split.
+        // With the fences removed, each session stays at one host: sessions that
+        // change hosts would all end up waiting on the other side of a partition.
         let host = match self.sabotage {
             Sabotage::NoFences => session % self.hosts.len(),
             _ => self.rng.random_range(0..self.hosts.len()),
@@ -49,10 +50,10 @@
             (false, 0) => RequestKind::SessionRead,
             (false, _) => RequestKind::BoundedStaleness(Duration::from_millis(500)),
         };
-        self.arrive(host, request, session, kind, false);
+        self.send_request(host, request, session, kind, false);
     }
 
-    pub(super) fn arrive(
+    pub(super) fn send_request(
         &mut self,
         host: usize,
         request: RequestId,
@@ -74,28 +75,39 @@
         self.step(host, HostEvent::RequestArrived(arrival));
     }
 
-    /// Hands a request to the first home, as the daemon does; a home that is
-    /// down or cut off refuses it.
-    pub(super) fn forward(&mut self, host: usize, request: RequestId, homes: &[GatewayAddress]) {
+    /// Forwards a request to the first gateway, as the daemon does. It is refused if
+    /// the gateway is down or cannot be reached.
+    pub(super) fn forward_request(
+        &mut self,
+        host: usize,
+        request: RequestId,
+        gateways: &[GatewayAddress],
+    ) {
         let Some(operation) = self.running.remove(&(host, request)) else {
             return;
         };
-        let home = homes[0].host.0 as usize;
+        let gateway = gateways[0].host.0 as usize;
         let record = &self.operations[operation];
         let (session, number) = (record.session, record.number);
-        let unreachable = self.hosts[home].state.is_none() || self.cut.contains(&(host, home));
-        self.running.insert((home, request), operation);
+        let unreachable =
+            self.hosts[gateway].state.is_none() || self.cut_links.contains(&(host, gateway));
+        self.running.insert((gateway, request), operation);
         if unreachable {
-            return self.concluded(home, request, ResultCode::NoDatabase);
+            return self.complete_operation(gateway, request, ResultCode::NoDatabase);
         }
         let kind = match number {
             Some(_) => RequestKind::Write,
             None => RequestKind::SessionRead,
         };
-        self.arrive(home, request, session, kind, true);
+        self.send_request(gateway, request, session, kind, true);
     }
 
-    pub(super) fn concluded(&mut self, host: usize, request: RequestId, result: ResultCode) {
+    pub(super) fn complete_operation(
+        &mut self,
+        host: usize,
+        request: RequestId,
+        result: ResultCode,
+    ) {
         let Some(operation) = self.running.remove(&(host, request)) else {
             return;
         };
@@ -106,19 +118,20 @@
         if record.number.is_some() && result == ResultCode::Done {
             let newest = self.databases.iter().filter(|d| d.role == DatabaseRole::Primary);
             let newest = newest.max_by_key(|database| database.term);
-            let stands = |d: &FakeDatabase| d.log.iter().any(|entry| entry.operation == operation);
-            if newest.is_some_and(|database| !stands(database)) {
+            let has_write =
+                |d: &FakeDatabase| d.log.iter().any(|entry| entry.operation == operation);
+            if newest.is_some_and(|database| !has_write(database)) {
                 let text = format!("write {operation} was acknowledged by a replaced primary");
-                self.verdict.note(text);
+                self.verdict.record_violation(text);
             }
         }
         let think = self.rng.random_range(1_000..20 * MILLI);
         self.after(think, Action::NextOperation(session));
     }
 
-    // Operators: two of them race on each version; some repeat a request.
+    // Operators: two of them race to change each version, and some repeat a request.
 
-    pub(super) fn ask(&mut self, question: OperatorQuestion) {
+    pub(super) fn send_question(&mut self, question: OperatorQuestion) {
         let host = self.rng.random_range(0..self.hosts.len());
         self.next_ticket += 1;
         let ticket = self.next_ticket;
@@ -126,19 +139,19 @@
         self.step(host, HostEvent::OperatorAsked { ticket, question });
     }
 
-    pub(super) fn operate(&mut self) {
+    pub(super) fn run_operators(&mut self) {
         if self.now < CALLERS_UNTIL {
-            self.after(150 * MILLI, Action::Operate);
+            self.after(150 * MILLI, Action::RunOperators);
         }
         for _ in 0..2 {
             let max_waiting = self.rng.random_range(500..2_000);
             let service = ServiceDeclaration { instances: 1, databases: 3, max_waiting };
             let services = BTreeMap::from([(Arc::from("shiftbook"), service)]);
-            self.ask(OperatorQuestion::Plan(Intent::Declare(Declaration { services })));
+            self.send_question(OperatorQuestion::Plan(Intent::Declare(Declaration { services })));
         }
     }
 
-    pub(super) fn answered(&mut self, ticket: u64, answer: OperatorAnswer) {
+    pub(super) fn handle_answer(&mut self, ticket: u64, answer: OperatorAnswer) {
         let Some(question) = self.tickets.remove(&ticket) else {
             return;
         };
@@ -152,32 +165,37 @@
                     operator: Arc::from("op"),
                     at_unix_ms: self.now / MILLI,
                 };
-                self.ask(question.clone());
+                self.send_question(question.clone());
                 if self.rng.random_range(0..4) == 0 {
-                    self.ask(question);
+                    self.send_question(question);
                 }
             }
             (OperatorQuestion::Confirm { request, .. }, OperatorAnswer::Confirm(answer)) => {
-                self.confirmed(request, answer.result, answer.version);
+                self.check_confirmation(request, answer.result, answer.version);
             }
             _ => {}
         }
     }
 
-    pub(super) fn confirmed(&mut self, request: Arc<str>, result: ResultCode, version: u64) {
+    pub(super) fn check_confirmation(
+        &mut self,
+        request: Arc<str>,
+        result: ResultCode,
+        version: u64,
+    ) {
         let first = *self.answers.entry(request.clone()).or_insert((result, version));
         if first != (result, version) {
-            self.verdict.note(format!("{request} got two answers"));
+            self.verdict.record_violation(format!("{request} got two answers"));
         }
         let ticket: u64 = request["request-".len()..].parse().unwrap();
         let Some((_, base)) = self.plans.get(&ticket) else {
             return;
         };
         if result == ResultCode::Done && version > *base {
-            let winners = self.winners.entry(*base).or_default();
-            winners.insert(self.plans[&ticket].0.clone());
-            if winners.len() > 1 {
-                self.verdict.note(format!("two plans won on version {base}"));
+            let applied_plans = self.applied_plans.entry(*base).or_default();
+            applied_plans.insert(self.plans[&ticket].0.clone());
+            if applied_plans.len() > 1 {
+                self.verdict.record_violation(format!("two plans were applied on version {base}"));
             }
         }
     }
--- a/crates/decisions/tests/schedule/schedule_run/faults.rs
+++ b/crates/decisions/tests/schedule/schedule_run/faults.rs
@@ -8,28 +8,28 @@
 use crate::schedule::fake_database::FakeDatabase;
 
 impl ScheduleRun {
-    pub(super) fn fault(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         if self.now >= FAULTS_UNTIL {
-            return self.heal();
+            return self.heal_all();
         }
         let next = self.rng.random_range(100 * MILLI..1_500 * MILLI);
-        self.after(next, Action::Fault);
+        self.after(next, Action::InjectFault);
         let length = self.rng.random_range(100 * MILLI..2_000 * MILLI);
         let hosts = self.hosts.len();
         let host = self.rng.random_range(0..hosts);
         let database = self.rng.random_range(0..3);
         let kind = self.rng.random_range(0..12);
-        // A missing fence shows where one host stays with the old primary.
+        // A missing fence is detected only if one host keeps reaching the old primary.
         let kind = if self.sabotage == Sabotage::NoFences { 10 } else { kind };
         match kind {
-            0 => self.crash(host, length, false),
-            1 => self.crash(host, length, self.is_repaired()),
+            0 => self.crash_host(host, length, false),
+            1 => self.crash_host(host, length, self.can_lose_disk()),
             2 => {
                 let both = self.rng.random_range(0..2) == 0;
                 for other in (0..hosts).filter(|other| *other != host) {
-                    self.cut.insert((host, other));
+                    self.cut_links.insert((host, other));
                     if both {
-                        self.cut.insert((other, host));
+                        self.cut_links.insert((other, host));
                     }
                 }
                 self.after(length, Action::HealLinks);
@@ -44,7 +44,7 @@
                 database.cut_from_hosts = true;
                 database.cut_from_group = true;
             }),
-            10..12 => self.split(host, length),
+            10..12 => self.isolate_with_primary(host, length),
             8 => {
                 self.databases[database].cut_from_group = true;
                 self.after(length, Action::HealDatabase(database));
@@ -56,9 +56,9 @@
         }
     }
 
-    /// True if the loss of one more disk leaves a majority that remembers:
-    /// every voter is up, counts, and is known to count.
-    pub(super) fn is_repaired(&self) -> bool {
+    /// True if a majority of the voters keeps its records when one disk is lost:
+    /// every voter is up, eligible, and sees all voters as members.
+    pub(super) fn can_lose_disk(&self) -> bool {
         let voters = self.voters();
         self.hosts[..voters].iter().all(|host| {
             let agreement = host.state.as_ref().and_then(HostState::agreement);
@@ -70,31 +70,32 @@
         if self.hosts.len() >= 5 { 5 } else { 3 }
     }
 
-    pub(super) fn primary(&self) -> usize {
+    pub(super) fn current_primary(&self) -> usize {
         (0..3)
             .filter(|index| self.databases[*index].accepts_writes())
             .max_by_key(|index| self.databases[*index].term)
             .unwrap_or(0)
     }
 
-    /// One host stays with the primary, alone; replicas are reached by all.
-    pub(super) fn split(&mut self, host: usize, length: u64) {
-        let primary = self.primary();
+    /// Isolates one host together with the primary. All hosts still reach the
+    /// replicas.
+    pub(super) fn isolate_with_primary(&mut self, host: usize, length: u64) {
+        let primary = self.current_primary();
         for other in (0..self.hosts.len()).filter(|other| *other != host) {
-            self.cut.insert((host, other));
-            self.cut.insert((other, host));
+            self.cut_links.insert((host, other));
+            self.cut_links.insert((other, host));
             self.cut_paths.insert((other, primary));
         }
         self.after(length, Action::HealLinks);
     }
 
     pub(super) fn fail_primary(&mut self, length: u64, change: impl Fn(&mut FakeDatabase)) {
-        let primary = self.primary();
+        let primary = self.current_primary();
         change(&mut self.databases[primary]);
         self.after(length, Action::HealDatabase(primary));
     }
 
-    pub(super) fn crash(&mut self, host: usize, length: u64, wiped: bool) {
+    pub(super) fn crash_host(&mut self, host: usize, length: u64, wiped: bool) {
         if self.hosts[host].state.take().is_none() {
             return;
         }
@@ -111,7 +112,7 @@
         self.after(length, Action::RestartHost { host, wiped });
     }
 
-    pub(super) fn restart(&mut self, host: usize, wiped: bool) {
+    pub(super) fn restart_host(&mut self, host: usize, wiped: bool) {
         if self.hosts[host].state.is_some() {
             return;
         }
@@ -126,8 +127,8 @@
         self.step(host, HostEvent::Tick);
     }
 
-    pub(super) fn heal(&mut self) {
-        self.cut.clear();
+    pub(super) fn heal_all(&mut self) {
+        self.cut_links.clear();
         self.cut_paths.clear();
         for database in 0..3 {
             self.after(1, Action::HealDatabase(database));
--- a/crates/decisions/tests/schedule/schedule_verdict.rs
+++ b/crates/decisions/tests/schedule/schedule_verdict.rs
@@ -8,49 +8,51 @@
 #[derive(Debug, Clone)]
 pub struct CallerOperation {
     pub session: usize,
-    /// Number that a write appends; `None` for a read.
+    /// Number that a write appends to the log; `None` for a read.
     pub number: Option<u64>,
     pub sent_at: u64,
     pub answered_at: Option<u64>,
     pub outcome: Outcome,
-    /// What a read found.
+    /// Highest number of the session that a read found.
     pub found: u64,
 }
 
-/// What a schedule broke; all empty if nothing.
+/// Violations that a schedule found, and counts of what it ran.
 #[derive(Debug, Clone, Default)]
 pub struct ScheduleVerdict {
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub acknowledged: usize,
-    pub changes_of_primary: u64,
+    pub primary_changes: u64,
     pub operations: usize,
     pub dispatches: usize,
 }
 
 impl ScheduleVerdict {
-    pub fn note(&mut self, text: String) {
-        if self.broken.len() < 20 {
-            self.broken.push(text);
+    pub fn record_violation(&mut self, text: String) {
+        if self.violations.len() < 20 {
+            self.violations.push(text);
         }
     }
 
-    /// Checks the callers' history against the log that survived.
+    /// Checks the callers' operations against the log of the last primary.
     pub fn check_history(&mut self, operations: &[CallerOperation], primary: &FakeDatabase) {
         let mut count: BTreeMap<usize, usize> = BTreeMap::new();
         for entry in primary.log.iter().filter(|entry| entry.operation != usize::MAX) {
             *count.entry(entry.operation).or_default() += 1;
         }
         for (index, operation) in operations.iter().enumerate() {
-            let stands = count.get(&index).copied().unwrap_or(0);
-            if stands > 1 {
-                self.note(format!("write {index} stands {stands} times"));
+            let copies = count.get(&index).copied().unwrap_or(0);
+            if copies > 1 {
+                self.record_violation(format!("write {index} is in the log {copies} times"));
             }
             match (operation.number, operation.outcome) {
-                (Some(_), Outcome::Ran) if stands == 0 => {
-                    self.note(format!("write {index} was acknowledged and is lost"));
+                (Some(_), Outcome::Ran) if copies == 0 => {
+                    self.record_violation(format!("write {index} was acknowledged and is lost"));
                 }
-                (Some(_), Outcome::DidNotRun) if stands > 0 => {
-                    self.note(format!("write {index} ran, its caller was told it did not"));
+                (Some(_), Outcome::DidNotRun) if copies > 0 => {
+                    self.record_violation(format!(
+                        "write {index} ran, its caller was told it did not"
+                    ));
                 }
                 (None, Outcome::Ran) => self.check_read(operations, operation, index),
                 _ => {}
@@ -58,7 +60,7 @@
         }
         let ran = |o: &&CallerOperation| o.number.is_some() && o.outcome == Outcome::Ran;
         self.acknowledged = operations.iter().filter(ran).count();
-        self.changes_of_primary = primary.term - 1;
+        self.primary_changes = primary.term - 1;
         self.operations = operations.len();
     }
 
@@ -71,11 +73,14 @@
             .max()
             .unwrap_or(0);
         if read.found < due {
-            self.note(format!("read {index} found {} but {due} was acknowledged", read.found));
+            self.record_violation(format!(
+                "read {index} found {} but {due} was acknowledged",
+                read.found
+            ));
         }
     }
 
-    /// At most one leader a term.
+    /// Checks that each term has at most one leader.
     pub fn check_leader(
         &mut self,
         leaders: &mut BTreeMap<u64, BTreeSet<HostId>>,
@@ -84,7 +89,7 @@
     ) {
         let hosts = leaders.entry(term).or_default();
         if hosts.insert(host) && hosts.len() > 1 {
-            self.note(format!("term {term} has the leaders {hosts:?}"));
+            self.record_violation(format!("term {term} has the leaders {hosts:?}"));
         }
     }
 }
