--- a/crates/lab/src/cluster/cluster_error.rs
+++ b/crates/lab/src/cluster/cluster_error.rs
@@ -3,44 +3,44 @@
 
 use crate::upstreams::EngineError;
 
-/// Why a cluster did not start or a step of an experiment failed.
+/// Errors of starting a cluster or running an experiment.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ClusterError {
-    /// A daemon did not start.
-    #[snafu(display("a daemon did not start: {source}"))]
+    /// A daemon failed to start.
+    #[snafu(display("a daemon failed to start: {source}"))]
     Daemon {
-        /// What it said.
+        /// The daemon's error.
         source: KernelError,
     },
-    /// A stand-in did not start.
-    #[snafu(display("a stand-in did not start: {source}"))]
+    /// A stand-in database failed to start or to run a statement.
+    #[snafu(display("a stand-in database failed: {source}"))]
     Upstream {
-        /// What it said.
+        /// The database's error.
         source: EngineError,
     },
-    /// A port or folder could not be had.
-    #[snafu(display("the system refused: {source}"))]
+    /// An operation on a socket or a directory failed.
+    #[snafu(display("I/O error: {source}"))]
     System {
-        /// What it said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// A name or size is not valid.
+    /// A name, size or result is not valid.
     #[snafu(display("{text}"))]
     Invalid {
-        /// What is wrong.
+        /// Description of the error.
         text: String,
     },
-    /// Something did not happen in time.
-    #[snafu(display("{what} did not happen in time"))]
-    Late {
-        /// What was waited for.
+    /// An expected state was not reached before its timeout.
+    #[snafu(display("timed out waiting for {what}"))]
+    Timeout {
+        /// The expected state.
         what: String,
     },
     /// A caller's request failed.
     #[snafu(display("a request failed: {text}"))]
     Request {
-        /// What it was told.
+        /// The error that the caller received.
         text: String,
     },
 }
--- a/crates/lab/src/cluster/lab_caller.rs
+++ b/crates/lab/src/cluster/lab_caller.rs
@@ -4,14 +4,14 @@
 use tokio::task::JoinHandle;
 use tokio_postgres::{Client, Config, NoTls, SimpleQueryMessage};
 
-/// Why a caller's request failed.
+/// A failed connection attempt or request of a caller.
 #[derive(Debug, Clone)]
 pub struct CallFailure {
-    /// What is known of the request.
+    /// Whether the request ran, as far as the caller can tell.
     pub outcome: Outcome,
-    /// The connection is gone.
+    /// True if the connection is closed.
     pub connection_lost: bool,
-    /// What the caller was told.
+    /// The error that the caller received, with SQLSTATE and detail.
     pub text: String,
 }
 
@@ -21,7 +21,8 @@
         let outcome = match detail.rsplit(": ").next() {
             Some("DidNotRun") => Outcome::DidNotRun,
             Some("Ran") => Outcome::Ran,
-            // An error of the database itself: its statement was rolled back.
+            // An error of the database itself, without an outcome from the daemon: the statement
+            // was rolled back.
             _ if error.as_db_error().is_some() && detail.is_empty() => Outcome::DidNotRun,
             _ => Outcome::Unknown,
         };
@@ -33,15 +34,16 @@
     }
 }
 
-/// One caller: an ordinary PostgreSQL client.
+/// A caller with one PostgreSQL connection, closed when it is dropped.
 pub struct LabCaller {
-    /// The client.
+    /// Client of the connection, for the extended protocol.
     pub client: Client,
     connection: JoinHandle<()>,
 }
 
 impl LabCaller {
-    /// Connects to a daemon for a group, with settings as `name=value`.
+    /// Connects to a group through a daemon as user `lab`, with session settings
+    /// as `name=value`.
     ///
     /// # Errors
     /// `CallFailure` if the daemon cannot be reached or refuses.
@@ -53,7 +55,7 @@
         Self::connect_as(daemon, group, "lab", settings).await
     }
 
-    /// Connects under a caller's name.
+    /// Connects to a group through a daemon as the given user.
     ///
     /// # Errors
     /// `CallFailure` if the daemon cannot be reached or refuses.
@@ -74,24 +76,24 @@
         Ok(Self { client, connection })
     }
 
-    /// Runs a text by the simple protocol and returns the first row's text
-    /// columns, or the count of changed rows.
+    /// Runs `sql` by the simple query protocol and returns the columns of the
+    /// first row and the row count.
     ///
     /// # Errors
-    /// `CallFailure` with the outcome as told.
-    pub async fn simple(&self, sql: &str) -> Result<SimpleAnswer, CallFailure> {
-        let mut answer = SimpleAnswer::default();
+    /// `CallFailure` with the outcome that the daemon reported.
+    pub async fn simple_query(&self, sql: &str) -> Result<SimpleQueryResult, CallFailure> {
+        let mut result = SimpleQueryResult::default();
         for message in self.client.simple_query(sql).await? {
             match message {
-                SimpleQueryMessage::Row(row) if answer.row.is_empty() => {
+                SimpleQueryMessage::Row(row) if result.row.is_empty() => {
                     let columns = (0..row.len()).map(|index| row.get(index).map(str::to_owned));
-                    answer.row = columns.collect();
+                    result.row = columns.collect();
                 }
-                SimpleQueryMessage::CommandComplete(count) => answer.changed = count,
+                SimpleQueryMessage::CommandComplete(count) => result.changed = count,
                 _ => {}
             }
         }
-        Ok(answer)
+        Ok(result)
     }
 }
 
@@ -101,11 +103,11 @@
     }
 }
 
-/// What a simple statement gave.
+/// Result of a simple query.
 #[derive(Debug, Clone, Default)]
-pub struct SimpleAnswer {
-    /// Columns of the first row.
+pub struct SimpleQueryResult {
+    /// Columns of the first row as text, `None` for NULL; empty without a row.
     pub row: Vec<Option<String>>,
-    /// Rows changed or given.
+    /// Rows changed or returned by the last statement.
     pub changed: u64,
 }
--- a/crates/lab/src/cluster/lab_cluster.rs
+++ b/crates/lab/src/cluster/lab_cluster.rs
@@ -30,30 +30,30 @@
     upstreams::{StandInDatabase, StandInGroup, StandInSettings, announce_forever, free_address},
 };
 
-/// Longest wait for a cluster to serve.
-const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest wait until all running daemons serve all groups.
+const SERVING_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What to start.
+/// Size and settings of a cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterPlan {
     /// Sizes and delays of the upstreams.
     pub deployment: Deployment,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: u32,
-    /// Daemons that vote, the first ones.
+    /// Number of daemons that vote; these are the first ones.
     pub voters: u32,
-    /// Homes of a group.
-    pub homes: usize,
-    /// Seed of the stand-ins.
+    /// Gateway hosts of each group.
+    pub gateways_per_group: usize,
+    /// Seed of the stand-in databases.
     pub seed: u64,
 }
 
 impl ClusterPlan {
-    /// Lone Star's sizes with one group, the first three daemons voting.
-    pub fn one_group(daemons: u32, homes: usize, lag: Duration, seed: u64) -> Self {
+    /// A single group with Lone Star's sizes; the first three daemons vote.
+    pub fn one_group(daemons: u32, gateways_per_group: usize, lag: Duration, seed: u64) -> Self {
         let deployment =
             Deployment { instances: 1, lag, ..Deployment::named(DeploymentName::LoneStar) };
-        Self { deployment, daemons, voters: daemons.min(3), homes, seed }
+        Self { deployment, daemons, voters: daemons.min(3), gateways_per_group, seed }
     }
 }
 
@@ -62,28 +62,29 @@
     kernel: Option<DaemonKernel>,
 }
 
-/// A running cluster; its folders are removed when it is dropped.
+/// A running cluster; it is stopped and its directory removed when it is dropped.
 pub struct LabCluster {
-    /// What was started.
+    /// Plan that the cluster was started with.
     pub plan: ClusterPlan,
-    /// Groups of stand-ins, by instance.
+    /// Groups of stand-in databases, in the order of the instances.
     pub groups: Vec<Arc<StandInGroup>>,
     daemons: Vec<LabDaemon>,
-    folder: PathBuf,
+    directory: PathBuf,
     cancel: CancellationToken,
 }
 
 impl LabCluster {
-    /// Starts upstreams and daemons, declares the service, and waits until
+    /// Starts databases and daemons, declares the service, and waits until
     /// every daemon serves every group.
     ///
     /// # Errors
-    /// `ClusterError` if something does not start.
+    /// `ClusterError` if a database or daemon fails to start, or not every
+    /// daemon serves in time.
     pub async fn start(plan: ClusterPlan) -> Result<Self, ClusterError> {
-        let folder =
+        let directory =
             std::env::temp_dir().join(format!("hawthornstack-{:x}", rand::random::<u64>()));
-        std::fs::create_dir_all(&folder).context(SystemSnafu)?;
-        let settings = daemon_settings(&plan, &folder)?;
+        std::fs::create_dir_all(&directory).context(SystemSnafu)?;
+        let settings = daemon_settings(&plan, &directory)?;
         let mut groups = Vec::new();
         for instance in 1..=plan.deployment.instances {
             let settings = stand_in_settings(&plan.deployment, instance)?;
@@ -91,13 +92,13 @@
             groups.push(StandInGroup::start(settings, seed).await.context(UpstreamSnafu)?);
         }
         let mut cluster =
-            Self { plan, groups, daemons: Vec::new(), folder, cancel: CancellationToken::new() };
+            Self { plan, groups, daemons: Vec::new(), directory, cancel: CancellationToken::new() };
         for settings in settings {
             let kernel = Some(DaemonKernel::start(&settings).await.context(DaemonSnafu)?);
             cluster.daemons.push(LabDaemon { settings, kernel });
         }
         cluster.announce_all();
-        cluster.operator().carry_out(Intent::Declare(cluster.declaration())).await?;
+        cluster.operator().execute_intent(Intent::Declare(cluster.declaration())).await?;
         cluster.wait_until_serving().await?;
         Ok(cluster)
     }
@@ -108,7 +109,8 @@
         }
     }
 
-    /// Announces a database to the daemons until the cluster is dropped.
+    /// Announces a database to all daemons periodically until the cluster is
+    /// dropped.
     pub fn announce(&self, database: Arc<StandInDatabase>, leaving: Arc<AtomicBool>) {
         let daemons = self.operator_addresses();
         let cancel = self.cancel.clone();
@@ -120,7 +122,7 @@
         });
     }
 
-    /// The service as operators declare it.
+    /// Declaration of the service, as an operator submits it.
     pub fn declaration(&self) -> Declaration {
         let deployment = &self.plan.deployment;
         let service = ServiceDeclaration {
@@ -131,43 +133,44 @@
         Declaration { services: BTreeMap::from([(Arc::from(deployment.service), service)]) }
     }
 
-    /// An operator of this cluster.
+    /// Creates a client for the operators' interface of the daemons.
     pub fn operator(&self) -> OperatorClient {
         OperatorClient::new(self.operator_addresses())
     }
 
-    /// Operators' addresses of all daemons.
+    /// Addresses of the operators' interface, by daemon.
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
         self.daemons.iter().map(|daemon| daemon.settings.listen.operators).collect()
     }
 
-    /// Callers' addresses of all daemons.
+    /// Addresses for callers, by daemon.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.daemons.iter().map(|daemon| daemon.settings.listen.callers).collect()
     }
 
-    /// Name of a group, by its place.
+    /// Name of the group at `index` in `groups`.
     pub fn group_name(&self, index: usize) -> String {
         format!("{}.{}", self.plan.deployment.service, index + 1)
     }
 
-    /// Waits until every running daemon may serve and knows every group.
+    /// Waits until every running daemon holds a lease and sees every group in
+    /// steady state.
     ///
     /// # Errors
-    /// `ClusterError::Late` after 20 s.
+    /// `ClusterError::Timeout` after 20 s.
     pub async fn wait_until_serving(&self) -> Result<(), ClusterError> {
         let started_at = Instant::now();
-        while started_at.elapsed() < START_TIMEOUT {
-            if self.all_serve().await {
+        while started_at.elapsed() < SERVING_TIMEOUT {
+            if self.all_daemons_serve().await {
                 return Ok(());
             }
             sleep(Duration::from_millis(30)).await;
         }
-        Err(ClusterError::Late { what: "service by every daemon".to_owned() })
+        Err(ClusterError::Timeout { what: "every daemon to serve".to_owned() })
     }
 
-    async fn all_serve(&self) -> bool {
-        let homes = self.plan.homes.min(self.plan.daemons as usize);
+    async fn all_daemons_serve(&self) -> bool {
+        let gateways = self.plan.gateways_per_group.min(self.plan.daemons as usize);
         for daemon in self.daemons.iter().filter(|daemon| daemon.kernel.is_some()) {
             let Some(status) = OperatorClient::status(daemon.settings.listen.operators).await
             else {
@@ -176,7 +179,7 @@
             let formed = status.groups.len() == self.groups.len();
             let steady = status.groups.iter().all(|group| {
                 group.phase == "steady"
-                    && group.homes.len() == homes
+                    && group.homes.len() == gateways
                     && (!group.homes.contains(&status.host)
                         || group.members.iter().all(|member| !member.role.is_empty()))
             });
@@ -187,24 +190,24 @@
         true
     }
 
-    /// Stops a daemon gracefully.
+    /// Shuts a daemon down gracefully.
     pub async fn shut_down(&mut self, index: usize) {
         if let Some(kernel) = self.daemons[index].kernel.take() {
             kernel.shut_down().await;
         }
     }
 
-    /// Stops a daemon at once.
+    /// Stops a daemon without a graceful shutdown.
     pub fn kill(&mut self, index: usize) {
         if let Some(kernel) = self.daemons[index].kernel.take() {
             kernel.kill();
         }
     }
 
-    /// Starts a stopped daemon again with its data folder.
+    /// Restarts a stopped daemon with its data directory.
     ///
     /// # Errors
-    /// `ClusterError::Daemon` if it does not start.
+    /// `ClusterError::Daemon` if every attempt fails.
     pub async fn restart(&mut self, index: usize) -> Result<(), ClusterError> {
         let daemon = &mut self.daemons[index];
         for _ in 0..50 {
@@ -213,7 +216,7 @@
                     daemon.kernel = Some(kernel);
                     return Ok(());
                 }
-                // The ports of the stopped daemon may still be closing.
+                // The listening ports of the stopped daemon may not be released yet.
                 Err(_) => sleep(Duration::from_millis(20)).await,
             }
         }
@@ -230,7 +233,7 @@
                 kernel.kill();
             }
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
@@ -269,7 +272,7 @@
 
 fn daemon_settings(
     plan: &ClusterPlan,
-    folder: &std::path::Path,
+    directory: &std::path::Path,
 ) -> Result<Vec<DaemonSettings>, ClusterError> {
     let mut listens = Vec::new();
     for _ in 0..plan.daemons {
@@ -294,14 +297,14 @@
                 listen,
                 control: ControlSettings {
                     voters: voters.clone(),
-                    data: (id <= plan.voters).then(|| folder.join(format!("h{id}"))),
+                    data: (id <= plan.voters).then(|| directory.join(format!("h{id}"))),
                     election_timeout: Duration::from_millis(300),
                     heartbeat: Duration::from_millis(50),
                     lease: Duration::from_millis(600),
                     renewal: Duration::from_millis(150),
                 },
                 failover: FailoverSettings::default(),
-                groups: GroupSettings { homes: plan.homes },
+                groups: GroupSettings { homes: plan.gateways_per_group },
                 sessions: SessionSettings { secret: Arc::from("a secret of the lab only") },
                 logs: LogSettings::default(),
             })
--- a/crates/lab/src/cluster/mod.rs
+++ b/crates/lab/src/cluster/mod.rs
@@ -7,7 +7,7 @@
 
 pub use cluster_error::ClusterError;
 pub(crate) use cluster_error::{SystemSnafu, UpstreamSnafu};
-pub use lab_caller::{CallFailure, LabCaller, SimpleAnswer};
+pub use lab_caller::{CallFailure, LabCaller, SimpleQueryResult};
 pub(crate) use lab_cluster::stand_in_settings;
 pub use lab_cluster::{ClusterPlan, LabCluster};
 pub use operator_client::OperatorClient;
--- a/crates/lab/src/cluster/operator_client.rs
+++ b/crates/lab/src/cluster/operator_client.rs
@@ -10,27 +10,28 @@
 use super::ClusterError;
 
 /// Time between attempts while no daemon leads.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Attempts before an operator's request is given up.
-const ATTEMPTS: usize = 200;
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Attempts, over all daemons, before a request fails.
+const MAX_ATTEMPTS: usize = 200;
 
-/// An operator that asks one daemon after the other until one answers.
+/// Client of the operators' interface that tries one daemon after another until
+/// one answers.
 #[derive(Debug, Clone)]
 pub struct OperatorClient {
     daemons: Vec<SocketAddr>,
 }
 
 impl OperatorClient {
-    /// An operator that knows the daemons' operator addresses.
+    /// Creates a client for the operators' addresses of the daemons.
     pub fn new(daemons: Vec<SocketAddr>) -> Self {
         Self { daemons }
     }
 
-    /// Makes a plan for an intent and confirms it.
+    /// Plans a change of the configuration and confirms the plan.
     ///
     /// # Errors
-    /// `ClusterError::Late` if no daemon leads.
-    pub async fn carry_out(&self, intent: Intent) -> Result<ConfirmResponse, ClusterError> {
+    /// `ClusterError::Timeout` if no daemon answers, for example without a leader.
+    pub async fn execute_intent(&self, intent: Intent) -> Result<ConfirmResponse, ClusterError> {
         let plan: PlanResponse = self.post(PLAN_PATH, &PlanRequest { intent }).await?;
         let request = ConfirmRequest {
             request: Arc::from(format!("lab-{:x}", rand::random::<u64>())),
@@ -40,41 +41,43 @@
         self.post(CONFIRM_PATH, &request).await
     }
 
-    /// Announces a database to one daemon; true if the daemon took the word.
+    /// Announces a database to one daemon; true if the daemon accepted the request.
     pub async fn announce(daemon: SocketAddr, announcement: Announcement) -> bool {
         let url = format!("http://{daemon}{ANNOUNCE_PATH}");
-        let sent = tokio::task::spawn_blocking(move || ureq::post(&url).send_json(&announcement));
-        matches!(sent.await, Ok(Ok(_)))
+        let response =
+            tokio::task::spawn_blocking(move || ureq::post(&url).send_json(&announcement));
+        matches!(response.await, Ok(Ok(_)))
     }
 
-    /// The state of the system as one daemon sees it; `None` if it is silent.
+    /// Fetches the status of the system as one daemon sees it; `None` if the daemon
+    /// does not answer.
     pub async fn status(daemon: SocketAddr) -> Option<StatusResponse> {
         let url = format!("http://{daemon}{STATUS_PATH}");
-        let asked = tokio::task::spawn_blocking(move || {
+        let response = tokio::task::spawn_blocking(move || {
             ureq::get(&url).call().ok()?.body_mut().read_json().ok()
         });
-        asked.await.ok().flatten()
+        response.await.ok().flatten()
     }
 
-    async fn post<Q, A>(&self, path: &str, question: &Q) -> Result<A, ClusterError>
+    async fn post<Q, A>(&self, path: &str, request: &Q) -> Result<A, ClusterError>
     where
         Q: Serialize,
         A: DeserializeOwned + Send + 'static,
     {
-        let body = serde_json::to_value(question)
+        let body = serde_json::to_value(request)
             .map_err(|error| ClusterError::Invalid { text: error.to_string() })?;
-        for attempt in 0..ATTEMPTS {
+        for attempt in 0..MAX_ATTEMPTS {
             let daemon = self.daemons[attempt % self.daemons.len()];
             let url = format!("http://{daemon}{path}");
             let body = body.clone();
-            let asked = tokio::task::spawn_blocking(move || {
+            let response = tokio::task::spawn_blocking(move || {
                 ureq::post(&url).send_json(&body).ok()?.body_mut().read_json().ok()
             });
-            if let Ok(Some(answer)) = asked.await {
+            if let Ok(Some(answer)) = response.await {
                 return Ok(answer);
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
-        Err(ClusterError::Late { what: format!("an answer to {path}") })
+        Err(ClusterError::Timeout { what: format!("an answer to {path}") })
     }
 }
--- a/crates/lab/src/demo/demo_caller.rs
+++ b/crates/lab/src/demo/demo_caller.rs
@@ -96,7 +96,7 @@
                 Ok(OperationResult::Written)
             }
             OperationKind::Increment => {
-                caller.simple("UPDATE counter SET value = value + 1").await?;
+                caller.simple_query("UPDATE counter SET value = value + 1").await?;
                 Ok(OperationResult::Written)
             }
             OperationKind::Claim { item } => {
@@ -104,7 +104,7 @@
                     "INSERT INTO claims (item, holder) VALUES ({item}, {session}) \
                      ON CONFLICT DO NOTHING"
                 );
-                let answer = caller.simple(&sql).await?;
+                let answer = caller.simple_query(&sql).await?;
                 Ok(OperationResult::Claimed(answer.changed == 1))
             }
             OperationKind::Read { max_age, nonce } => {
@@ -116,7 +116,7 @@
                     "{hint}SELECT {nonce} AS nonce, max(number) FROM ledger \
                      WHERE session = {session}"
                 );
-                let answer = caller.simple(&sql).await?;
+                let answer = caller.simple_query(&sql).await?;
                 let column = |index: usize| {
                     let text = answer.row.get(index).cloned().flatten();
                     text.and_then(|text| text.parse().ok()).unwrap_or(0)
--- a/crates/lab/src/demo/demo_run.rs
+++ b/crates/lab/src/demo/demo_run.rs
@@ -60,7 +60,7 @@
         deployment: plan.deployment.clone(),
         daemons: 3,
         voters: 3,
-        homes: 3,
+        gateways_per_group: 3,
         seed: plan.seed,
     };
     let say = |text: String| {
@@ -87,7 +87,7 @@
     let daemon = cluster.caller_addresses()[0];
     let caller = LabCaller::connect(daemon, &name, &[]).await.map_err(failed)?;
     for sql in SCHEMA {
-        caller.simple(sql).await.map_err(failed)?;
+        caller.simple_query(sql).await.map_err(failed)?;
     }
     Ok(())
 }
@@ -233,7 +233,7 @@
 fn final_state(group: &StandInGroup) -> Result<FinalState, ClusterError> {
     let primary = group
         .primary()
-        .ok_or_else(|| ClusterError::Late { what: "a primary at the end".to_owned() })?;
+        .ok_or_else(|| ClusterError::Timeout { what: "a primary at the end".to_owned() })?;
     let core = primary.core();
     let rows = |sql: &str| {
         let statement = LoggedStatement { sql: sql.to_owned(), parameters: Vec::new() };
--- a/crates/lab/src/faults/fault_run.rs
+++ b/crates/lab/src/faults/fault_run.rs
@@ -95,7 +95,8 @@
     mut report: impl FnMut(&FaultRecord),
 ) -> Result<Vec<FaultRecord>, ClusterError> {
     let deployment = Deployment { instances: 1, ..plan.deployment.clone() };
-    let cluster_plan = ClusterPlan { deployment, daemons: 3, voters: 3, homes: 3, seed: plan.seed };
+    let cluster_plan =
+        ClusterPlan { deployment, daemons: 3, voters: 3, gateways_per_group: 3, seed: plan.seed };
     let cluster = LabCluster::start(cluster_plan).await?;
     let writes = SharedWrites::default();
     let cancel = CancellationToken::new();
@@ -122,7 +123,7 @@
     let daemons = cluster.caller_addresses();
     let first = LabCaller::connect(daemons[0], &group, &[]).await;
     let first = first.map_err(|failure| ClusterError::Request { text: failure.text })?;
-    let created = first.simple("CREATE TABLE marks (writer BIGINT, number BIGINT)").await;
+    let created = first.simple_query("CREATE TABLE marks (writer BIGINT, number BIGINT)").await;
     created.map_err(|failure| ClusterError::Request { text: failure.text })?;
     for writer in 0..WRITERS {
         let daemon = daemons[writer % daemons.len()];
@@ -148,7 +149,7 @@
 ) {
     while !cancel.is_cancelled() {
         let sent_at = Instant::now();
-        let written = caller.simple(&format!("INSERT INTO marks VALUES ({writer}, 1)")).await;
+        let written = caller.simple_query(&format!("INSERT INTO marks VALUES ({writer}, 1)")).await;
         match written {
             Ok(_) => {
                 let write = AcknowledgedWrite { sent_at, answered_at: Instant::now() };
@@ -169,7 +170,7 @@
 ) -> Result<FaultRecord, ClusterError> {
     sleep(QUIET_TIME).await;
     let group = &cluster.groups[0];
-    let no_primary = || ClusterError::Late { what: "a primary".to_owned() };
+    let no_primary = || ClusterError::Timeout { what: "a primary".to_owned() };
     let primary = group.primary().ok_or_else(no_primary)?;
     let term_before = primary.core().status().term;
     writes.lock().unwrap_or_else(PoisonError::into_inner).clear();
@@ -212,7 +213,7 @@
         }
         sleep(Duration::from_millis(2)).await;
     }
-    Err(ClusterError::Late { what: "a write after the fault".to_owned() })
+    Err(ClusterError::Timeout { what: "a write after the fault".to_owned() })
 }
 
 fn first_order(group: &StandInGroup, function: &str, after: Instant) -> Option<Instant> {
--- a/crates/lab/src/latency/latency_run.rs
+++ b/crates/lab/src/latency/latency_run.rs
@@ -57,7 +57,8 @@
 /// `ClusterError` if the cluster does not start or a request fails.
 pub async fn run_latency(plan: &LatencyPlan) -> Result<LatencyReport, ClusterError> {
     let deployment = Deployment { instances: 1, databases: 1, ..plan.deployment.clone() };
-    let cluster_plan = ClusterPlan { deployment, daemons: 1, voters: 1, homes: 1, seed: plan.seed };
+    let cluster_plan =
+        ClusterPlan { deployment, daemons: 1, voters: 1, gateways_per_group: 1, seed: plan.seed };
     let cluster = LabCluster::start(cluster_plan).await?;
     let group = cluster.group_name(0);
     let daemon = cluster.caller_addresses()[0];
@@ -65,7 +66,7 @@
     let first = connect(daemon, &group).await?;
     for sql in ["CREATE TABLE items (item BIGINT, value BIGINT)", "INSERT INTO items VALUES (7, 1)"]
     {
-        first.simple(sql).await.map_err(failed)?;
+        first.simple_query(sql).await.map_err(failed)?;
     }
     let mut direct = Vec::new();
     let mut proxied = Vec::new();
@@ -136,7 +137,7 @@
 ) -> Result<(), ClusterError> {
     while Instant::now() < ends_at {
         let sent_at = Instant::now();
-        caller.simple(READ).await.map_err(failed)?;
+        caller.simple_query(READ).await.map_err(failed)?;
         times.lock().await.saturating_record(sent_at.elapsed().as_micros() as u64);
     }
     Ok(())
--- a/crates/lab/src/load/load_run.rs
+++ b/crates/lab/src/load/load_run.rs
@@ -82,8 +82,13 @@
     let deployment =
         Deployment { instances: 1, service_time: SERVICE_TIME, ..plan.deployment.clone() };
     let capacity = plan.profile.capacity(deployment.slots, deployment.databases, SERVICE_TIME);
-    let cluster_plan =
-        ClusterPlan { deployment, daemons: plan.daemons, voters: 3, homes: 3, seed: plan.seed };
+    let cluster_plan = ClusterPlan {
+        deployment,
+        daemons: plan.daemons,
+        voters: 3,
+        gateways_per_group: 3,
+        seed: plan.seed,
+    };
     let cluster = LabCluster::start(cluster_plan).await?;
     let target = prepare(&cluster).await?;
     let offered = capacity * plan.factor;
@@ -113,12 +118,12 @@
     let daemons = cluster.caller_addresses();
     let first = LabCaller::connect(daemons[0], &group, &[]).await.map_err(failed)?;
     first
-        .simple("CREATE TABLE items (item BIGINT PRIMARY KEY, value BIGINT)")
+        .simple_query("CREATE TABLE items (item BIGINT PRIMARY KEY, value BIGINT)")
         .await
         .map_err(failed)?;
     let rows: Vec<String> = (0..ITEMS).map(|item| format!("({item}, 0)")).collect();
     let insert = format!("INSERT INTO items VALUES {}", rows.join(", "));
-    first.simple(&insert).await.map_err(failed)?;
+    first.simple_query(&insert).await.map_err(failed)?;
     let settings = [format!("hawthornstack.timeout={}ms", DEADLINE.as_millis())];
     let mut idle = Vec::new();
     for name in CALLER_NAMES {
@@ -163,7 +168,7 @@
         counts.late.fetch_add(1, Ordering::Relaxed);
         return;
     };
-    let answered = caller.simple(&statement.sql(item)).await;
+    let answered = caller.simple_query(&statement.sql(item)).await;
     let elapsed = due.elapsed();
     match &answered {
         Ok(_) if elapsed <= DEADLINE => {
--- a/crates/lab/src/slopes/daemon_slopes.rs
+++ b/crates/lab/src/slopes/daemon_slopes.rs
@@ -32,7 +32,7 @@
 fn plan(daemons: u32, instances: u32, seed: u64) -> ClusterPlan {
     let deployment = Deployment { instances, ..Deployment::named(DeploymentName::Cascade) };
     let voters = if daemons < 3 { 1 } else { 3 };
-    ClusterPlan { deployment, daemons, voters, homes: 3.min(daemons as usize), seed }
+    ClusterPlan { deployment, daemons, voters, gateways_per_group: 3.min(daemons as usize), seed }
 }
 
 fn failed(failure: CallFailure) -> ClusterError {
@@ -191,7 +191,7 @@
         .map(|caller| {
             tokio::spawn(async move {
                 let mut count = 0_u32;
-                while Instant::now() < ends_at && caller.simple("SELECT 1").await.is_ok() {
+                while Instant::now() < ends_at && caller.simple_query("SELECT 1").await.is_ok() {
                     count += 1;
                 }
                 count
--- a/crates/lab/tests/bad_callers.rs
+++ b/crates/lab/tests/bad_callers.rs
@@ -15,7 +15,7 @@
 async fn start() -> LabCluster {
     let deployment =
         Deployment { instances: 1, databases: 1, ..Deployment::named(DeploymentName::LoneStar) };
-    let plan = ClusterPlan { deployment, daemons: 1, voters: 1, homes: 1, seed: 2 };
+    let plan = ClusterPlan { deployment, daemons: 1, voters: 1, gateways_per_group: 1, seed: 2 };
     LabCluster::start(plan).await.unwrap()
 }
 
@@ -61,7 +61,7 @@
     assert!(contains(&send(address, &bad).await, "22023"));
     let outside = startup("user|a|database|shiftbook.1|hawthornstack.forward_state|{}|");
     assert!(contains(&send(address, &outside).await, "22023"), "only hosts hand over state");
-    assert!(other.simple("SELECT 1").await.is_ok());
+    assert!(other.simple_query("SELECT 1").await.is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -81,7 +81,7 @@
             .await
             .expect("the daemon ends a broken connection");
     }
-    assert!(other.simple("SELECT 1").await.is_ok());
+    assert!(other.simple_query("SELECT 1").await.is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -89,14 +89,14 @@
     let cluster = start().await;
     let address = cluster.caller_addresses()[0];
     let other = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
-    other.simple("CREATE TABLE t (a BIGINT)").await.unwrap();
+    other.simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
     for _ in 0..20 {
         let caller = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
-        caller.simple("BEGIN").await.unwrap();
-        caller.simple("INSERT INTO t VALUES (1)").await.unwrap();
+        caller.simple_query("BEGIN").await.unwrap();
+        caller.simple_query("INSERT INTO t VALUES (1)").await.unwrap();
         drop(caller);
     }
-    other.simple("INSERT INTO t VALUES (2)").await.unwrap();
-    let found = other.simple("SELECT count(*) FROM t WHERE a = 1").await.unwrap();
+    other.simple_query("INSERT INTO t VALUES (2)").await.unwrap();
+    let found = other.simple_query("SELECT count(*) FROM t WHERE a = 1").await.unwrap();
     assert_eq!(found.row[0].as_deref(), Some("0"), "nobody commits for a caller that is gone");
 }
--- a/crates/lab/tests/forwarded_requests.rs
+++ b/crates/lab/tests/forwarded_requests.rs
@@ -22,13 +22,13 @@
     let cluster = start().await;
     let session = ["hawthornstack.session=roamer".to_owned()];
     let first = connect(&cluster, 0, &session).await;
-    first.simple("CREATE TABLE t (a BIGINT)").await.unwrap();
+    first.simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
     for round in 1..=12 {
         let writer = connect(&cluster, round % 6, &session).await;
         let sql = "INSERT INTO t VALUES ($1::bigint)";
         assert_eq!(writer.client.execute(sql, &[&(round as i64)]).await.unwrap(), 1);
         let reader = connect(&cluster, (round + 1) % 6, &session).await;
-        let found = reader.simple("SELECT count(*) FROM t").await.unwrap();
+        let found = reader.simple_query("SELECT count(*) FROM t").await.unwrap();
         assert_eq!(found.row[0].as_deref(), Some(round.to_string().as_str()));
     }
 }
@@ -36,7 +36,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn transactions_and_keys() {
     let cluster = start().await;
-    connect(&cluster, 0, &[]).await.simple("CREATE TABLE t (a BIGINT)").await.unwrap();
+    connect(&cluster, 0, &[]).await.simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
     for daemon in 0..6 {
         let mut caller = connect(&cluster, daemon, &[]).await;
         let transaction = caller.client.transaction().await.unwrap();
@@ -46,14 +46,14 @@
         transaction.execute("INSERT INTO t VALUES (2)", &[]).await.unwrap();
         transaction.commit().await.unwrap();
         let keyed = "/* hawthornstack: request_key=once */ INSERT INTO t VALUES (3)";
-        assert_eq!(caller.simple(keyed).await.unwrap().changed, 1);
-        let bad = caller.simple("SELECT nothing FROM nowhere").await.unwrap_err();
+        assert_eq!(caller.simple_query(keyed).await.unwrap().changed, 1);
+        let bad = caller.simple_query("SELECT nothing FROM nowhere").await.unwrap_err();
         assert!(bad.text.starts_with("42"), "{}", bad.text);
     }
     let caller = connect(&cluster, 5, &[]).await;
     let sum = "SELECT count(*) FROM t WHERE a = ";
     for (value, expected) in [(1, "0"), (2, "6"), (3, "1")] {
-        let found = caller.simple(&format!("{sum}{value}")).await.unwrap();
+        let found = caller.simple_query(&format!("{sum}{value}")).await.unwrap();
         assert_eq!(found.row[0].as_deref(), Some(expected), "rows of {value}");
     }
 }
@@ -62,12 +62,12 @@
 async fn over_change_of_primary() {
     let cluster = start().await;
     let callers = [connect(&cluster, 0, &[]).await, connect(&cluster, 5, &[]).await];
-    callers[0].simple("CREATE TABLE t (a BIGINT)").await.unwrap();
+    callers[0].simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
     cluster.groups[0].primary().unwrap().faults.set(Fault::Frozen);
     for caller in &callers {
         let key = "/* hawthornstack: request_key=after */ INSERT INTO t VALUES (1)";
-        assert_eq!(caller.simple(key).await.unwrap().changed, 1);
-        let found = caller.simple("SELECT count(*) FROM t").await.unwrap();
+        assert_eq!(caller.simple_query(key).await.unwrap().changed, 1);
+        let found = caller.simple_query("SELECT count(*) FROM t").await.unwrap();
         assert_eq!(found.row[0].as_deref(), Some("1"));
     }
 }
--- a/crates/lab/tests/graceful_change.rs
+++ b/crates/lab/tests/graceful_change.rs
@@ -28,7 +28,7 @@
     let cluster = LabCluster::start(plan).await.unwrap();
     let address = cluster.caller_addresses()[0];
     let caller = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
-    caller.simple("CREATE TABLE t (a BIGINT)").await.unwrap();
+    caller.simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
     cluster
 }
 
@@ -49,7 +49,7 @@
             continue;
         };
         while !cancel.is_cancelled() {
-            match caller.simple("INSERT INTO t VALUES (1)").await {
+            match caller.simple_query("INSERT INTO t VALUES (1)").await {
                 Ok(_) => counts.written.fetch_add(1, Ordering::Relaxed),
                 Err(failure) if failure.outcome == Outcome::DidNotRun => {
                     counts.refused.fetch_add(1, Ordering::Relaxed);
@@ -96,7 +96,7 @@
 async fn rows(cluster: &LabCluster) -> u64 {
     let address = cluster.caller_addresses()[0];
     let caller = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
-    let found = caller.simple("SELECT count(*) FROM t").await.unwrap();
+    let found = caller.simple_query("SELECT count(*) FROM t").await.unwrap();
     found.row[0].as_deref().unwrap().parse().unwrap()
 }
 
@@ -123,7 +123,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let old = cluster.groups[0].primary().unwrap();
     let drain = Intent::DrainDatabase(old.settings.database.clone());
-    assert_eq!(cluster.operator().carry_out(drain).await.unwrap().code, 0);
+    assert_eq!(cluster.operator().execute_intent(drain).await.unwrap().code, 0);
     let moved = || cluster.groups[0].primary().is_some_and(|new| new.address != old.address);
     for _ in 0..PATIENCE_ROUNDS {
         if moved() {
@@ -147,14 +147,14 @@
     let writers = Writers::start(&cluster);
     tokio::time::sleep(Duration::from_millis(200)).await;
     let drain = Intent::DrainHost(hawthornstack_decisions::identity::HostId(2));
-    assert_eq!(cluster.operator().carry_out(drain).await.unwrap().code, 0);
+    assert_eq!(cluster.operator().execute_intent(drain).await.unwrap().code, 0);
     tokio::time::sleep(Duration::from_millis(400)).await;
     let counts = writers.stop().await;
     assert_eq!(counts.open.load(Ordering::Relaxed), 0, "requests were left open");
     let address = cluster.caller_addresses()[1];
     let served = || async {
         match LabCaller::connect(address, "shiftbook.1", &[]).await {
-            Ok(caller) => caller.simple("SELECT 1").await.is_ok(),
+            Ok(caller) => caller.simple_query("SELECT 1").await.is_ok(),
             Err(_) => false,
         }
     };
--- a/crates/lab/tests/request_keys.rs
+++ b/crates/lab/tests/request_keys.rs
@@ -23,23 +23,23 @@
 async fn repeats_get_first_answer() {
     let cluster = start().await;
     let first = connect(&cluster, 0).await;
-    first.simple("CREATE TABLE counter (value BIGINT)").await.unwrap();
-    first.simple("INSERT INTO counter VALUES (0)").await.unwrap();
+    first.simple_query("CREATE TABLE counter (value BIGINT)").await.unwrap();
+    first.simple_query("INSERT INTO counter VALUES (0)").await.unwrap();
     let other = connect(&cluster, 1).await;
-    let (a, b) = tokio::join!(first.simple(CLAIM), other.simple(CLAIM));
+    let (a, b) = tokio::join!(first.simple_query(CLAIM), other.simple_query(CLAIM));
     assert_eq!(a.unwrap().row[0].as_deref(), Some("1"));
     assert_eq!(b.unwrap().row[0].as_deref(), Some("1"));
 
     let reused = other
-        .simple("/* hawthornstack: request_key=claim-1 */ UPDATE counter SET value = 9")
+        .simple_query("/* hawthornstack: request_key=claim-1 */ UPDATE counter SET value = 9")
         .await
         .unwrap_err();
     assert!(reused.text.contains("305"), "{}", reused.text);
 
     cluster.groups[0].primary().unwrap().faults.set(Fault::Stopped);
     let third = connect(&cluster, 2).await;
-    assert_eq!(third.simple(CLAIM).await.unwrap().row[0].as_deref(), Some("1"));
-    let value = third.simple("SELECT value FROM counter").await.unwrap();
+    assert_eq!(third.simple_query(CLAIM).await.unwrap().row[0].as_deref(), Some("1"));
+    let value = third.simple_query("SELECT value FROM counter").await.unwrap();
     assert_eq!(value.row[0].as_deref(), Some("1"));
 }
 
@@ -47,11 +47,11 @@
 async fn failed_statement_keeps_no_key() {
     let cluster = start().await;
     let caller = connect(&cluster, 0).await;
-    caller.simple("CREATE TABLE seats (seat BIGINT PRIMARY KEY)").await.unwrap();
-    caller.simple("INSERT INTO seats VALUES (1)").await.unwrap();
+    caller.simple_query("CREATE TABLE seats (seat BIGINT PRIMARY KEY)").await.unwrap();
+    caller.simple_query("INSERT INTO seats VALUES (1)").await.unwrap();
     let doubled = "/* hawthornstack: request_key=k */ INSERT INTO seats VALUES (1)";
-    let refused = caller.simple(doubled).await.unwrap_err();
+    let refused = caller.simple_query(doubled).await.unwrap_err();
     assert!(refused.text.starts_with("23505"), "{}", refused.text);
-    caller.simple("DELETE FROM seats").await.unwrap();
-    assert_eq!(caller.simple(doubled).await.unwrap().changed, 1);
+    caller.simple_query("DELETE FROM seats").await.unwrap();
+    assert_eq!(caller.simple_query(doubled).await.unwrap().changed, 1);
 }
--- a/crates/lab/tests/whole_path.rs
+++ b/crates/lab/tests/whole_path.rs
@@ -19,17 +19,17 @@
 async fn reads_own_writes() {
     let cluster = LabCluster::start(plan(Duration::from_millis(150))).await.unwrap();
     let first = connect(&cluster, 0, &["hawthornstack.session=worker-1"]).await;
-    first.simple("CREATE TABLE t (a BIGINT)").await.unwrap();
+    first.simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
     for round in 1..=10 {
-        first.simple(&format!("INSERT INTO t VALUES ({round})")).await.unwrap();
+        first.simple_query(&format!("INSERT INTO t VALUES ({round})")).await.unwrap();
         let other = connect(&cluster, round % 3, &["hawthornstack.session=worker-1"]).await;
-        let found = other.simple("SELECT count(*) FROM t").await.unwrap();
+        let found = other.simple_query("SELECT count(*) FROM t").await.unwrap();
         assert_eq!(found.row[0].as_deref(), Some(round.to_string().as_str()));
-        let token = first.simple("SHOW hawthornstack.token").await.unwrap();
+        let token = first.simple_query("SHOW hawthornstack.token").await.unwrap();
         let token = token.row[0].clone().unwrap();
         let setting = format!("hawthornstack.token={token}");
         let third = connect(&cluster, (round + 1) % 3, &[&setting]).await;
-        let found = third.simple("SELECT count(*) FROM t").await.unwrap();
+        let found = third.simple_query("SELECT count(*) FROM t").await.unwrap();
         assert_eq!(found.row[0].as_deref(), Some(round.to_string().as_str()));
     }
 }
@@ -38,7 +38,7 @@
 async fn prepared_statements() {
     let cluster = LabCluster::start(plan(Duration::from_millis(5))).await.unwrap();
     let mut caller = connect(&cluster, 0, &[]).await;
-    caller.simple("CREATE TABLE t (a BIGINT PRIMARY KEY, b TEXT)").await.unwrap();
+    caller.simple_query("CREATE TABLE t (a BIGINT PRIMARY KEY, b TEXT)").await.unwrap();
     let client = &mut caller.client;
     let insert = client.prepare("INSERT INTO t VALUES ($1::bigint, $2)").await.unwrap();
     for number in 0..20_i64 {
@@ -70,11 +70,11 @@
     let cluster = LabCluster::start(plan(Duration::from_millis(5))).await.unwrap();
     let address = cluster.caller_addresses()[0];
     let caller = connect(&cluster, 0, &[]).await;
-    let bad = caller.simple("SET hawthornstack.max_age = '5'").await.unwrap_err();
+    let bad = caller.simple_query("SET hawthornstack.max_age = '5'").await.unwrap_err();
     assert!(bad.text.contains("22023") && bad.text.contains("unit"), "{}", bad.text);
-    let shown = caller.simple("SHOW hawthornstack.max_age").await.unwrap();
+    let shown = caller.simple_query("SHOW hawthornstack.max_age").await.unwrap();
     assert_eq!(shown.row[0].as_deref(), Some("off"));
-    let kept = caller.simple("SET work_mem = '1GB'").await.unwrap_err();
+    let kept = caller.simple_query("SET work_mem = '1GB'").await.unwrap_err();
     assert!(kept.text.contains("0A000"), "{}", kept.text);
 
     let forged = ["hawthornstack.token=hs1~a~shiftbook.1~1~1~00000000000000000000000000000000"];
@@ -83,17 +83,17 @@
     assert!(refused.text.contains("28000"), "{}", refused.text);
 
     let nowhere = LabCaller::connect(address, "no-such.1", &[]).await.unwrap();
-    let refused = nowhere.simple("SELECT 1").await.unwrap_err();
+    let refused = nowhere.simple_query("SELECT 1").await.unwrap_err();
     assert!(refused.text.contains("3D000"), "{}", refused.text);
     assert_eq!(refused.outcome, Outcome::DidNotRun);
-    assert!(caller.simple("SELECT 1").await.is_ok());
+    assert!(caller.simple_query("SELECT 1").await.is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn announced_elsewhere() {
     let cluster = LabCluster::start(plan(Duration::from_millis(5))).await.unwrap();
     let caller = connect(&cluster, 0, &[]).await;
-    caller.simple("CREATE TABLE t (a BIGINT)").await.unwrap();
+    caller.simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
     let real = &cluster.groups[0].databases[0];
     let mut forged = real.announcement(false);
     forged.address = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
@@ -101,7 +101,7 @@
         let sent = OperatorClient::announce(daemon, forged.clone()).await;
         assert!(sent, "an announcement is taken, and then refused by its content");
     }
-    caller.simple("INSERT INTO t VALUES (1)").await.unwrap();
+    caller.simple_query("INSERT INTO t VALUES (1)").await.unwrap();
     for daemon in cluster.operator_addresses() {
         let status = OperatorClient::status(daemon).await.unwrap();
         let members: Vec<_> = status.groups.iter().flat_map(|group| &group.members).collect();
