--- a/crates/lab/src/demo/demo_caller.rs
+++ b/crates/lab/src/demo/demo_caller.rs
@@ -15,16 +15,18 @@
     history::{OperationKind, OperationResult, RecordedOperation},
 };
 
-/// Requests after which a caller moves to another daemon.
-const REQUESTS_PER_VISIT: u32 = 12;
-/// Items that callers compete for, in each group.
-const ITEMS: u64 = 400;
-/// Age that reads of the demo accept.
-const READ_AGE: Duration = Duration::from_secs(1);
-/// Pause of a caller between two requests.
+/// Requests after which a caller reconnects to a random daemon.
+const REQUESTS_PER_CONNECTION: u32 = 12;
+/// Items that the callers of a group compete for.
+const ITEMS_PER_GROUP: u64 = 400;
+/// Maximum staleness that bounded-staleness reads accept.
+const MAX_READ_AGE: Duration = Duration::from_secs(1);
+/// Pause of a caller between two requests, and before it connects again after a
+/// failed attempt.
 const THINK_TIME: Duration = Duration::from_millis(4);
 
-/// A caller that roams between daemons and records what it is told.
+/// A caller that connects to random daemons in turn and records the results of
+/// its requests.
 pub(super) struct DemoCaller {
     pub(super) session: u32,
     pub(super) group: usize,
@@ -37,7 +39,7 @@
 }
 
 impl DemoCaller {
-    /// Runs until cancelled.
+    /// Sends requests until cancelled.
     pub(super) async fn run(self) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let mut number = 0;
@@ -49,10 +51,10 @@
                 sleep(THINK_TIME).await;
                 continue;
             };
-            for _ in 0..REQUESTS_PER_VISIT {
+            for _ in 0..REQUESTS_PER_CONNECTION {
                 let kind = choose_operation(&mut rng, &mut number);
-                let lost = self.perform(&caller, kind).await;
-                if lost || self.cancel.is_cancelled() {
+                let connection_lost = self.run_operation(&caller, kind).await;
+                if connection_lost || self.cancel.is_cancelled() {
                     break;
                 }
                 sleep(THINK_TIME).await;
@@ -60,12 +62,12 @@
         }
     }
 
-    /// Performs and records one operation; true if the connection is gone.
-    async fn perform(&self, caller: &LabCaller, kind: OperationKind) -> bool {
+    /// Runs and records one operation; returns true if the connection was lost.
+    async fn run_operation(&self, caller: &LabCaller, kind: OperationKind) -> bool {
         let sent_at = self.started_at.elapsed();
-        let performed = self.send(caller, &kind).await;
-        let lost = performed.as_ref().is_err_and(|failure| failure.connection_lost);
-        let result = performed.unwrap_or_else(|failure| match failure.outcome {
+        let response = self.send_operation(caller, &kind).await;
+        let connection_lost = response.as_ref().is_err_and(|failure| failure.connection_lost);
+        let result = response.unwrap_or_else(|failure| match failure.outcome {
             Outcome::DidNotRun => OperationResult::DidNotRun,
             Outcome::Ran | Outcome::Unknown => OperationResult::Unknown,
         });
@@ -78,10 +80,10 @@
             result,
         };
         self.history.lock().unwrap_or_else(PoisonError::into_inner).push(operation);
-        lost
+        connection_lost
     }
 
-    async fn send(
+    async fn send_operation(
         &self,
         caller: &LabCaller,
         kind: &OperationKind,
@@ -134,8 +136,11 @@
             OperationKind::Append { number: *number }
         }
         15..20 => OperationKind::Increment,
-        20..30 => OperationKind::Claim { item: rng.random_range(0..ITEMS) },
+        20..30 => OperationKind::Claim { item: rng.random_range(0..ITEMS_PER_GROUP) },
         30..60 => OperationKind::Read { max_age: None, nonce: rng.random_range(1..1_000_000) },
-        _ => OperationKind::Read { max_age: Some(READ_AGE), nonce: rng.random_range(1..1_000_000) },
+        _ => OperationKind::Read {
+            max_age: Some(MAX_READ_AGE),
+            nonce: rng.random_range(1..1_000_000),
+        },
     }
 }
--- a/crates/lab/src/demo/demo_report.rs
+++ b/crates/lab/src/demo/demo_report.rs
@@ -2,32 +2,34 @@
 
 use crate::history::HistoryReport;
 
-/// What the demo found. Figures that were not measured are `null`.
+/// Results of a demo run. Values that were not measured are `null`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DemoReport {
-    /// Counts from the recorded history.
+    /// Counts from the check of the recorded history.
     #[serde(flatten)]
     pub history: HistoryReport,
-    /// Reads that replicas served, as the databases counted them.
+    /// Share of reads that replicas served, 0 to 1, from the counters of the
+    /// databases.
     pub replica_read_share: Option<f64>,
-    /// Time from the primary's failure to the first write sent after it and
-    /// acknowledged, in milliseconds.
+    /// Time from the failure of the primary to the first acknowledgement of a
+    /// write that was sent after it, in milliseconds.
     pub failover_gap_ms: Option<f64>,
-    /// Median time of an answer, in milliseconds.
+    /// Median request latency, in milliseconds.
     pub p50_ms: Option<f64>,
-    /// 99th percentile of the time of an answer, in milliseconds.
+    /// 99th percentile of the request latency, in milliseconds.
     pub p99_ms: Option<f64>,
-    /// Requests that were refused or left open by the draining daemon.
+    /// Requests that were refused or had an unknown outcome while a daemon drained,
+    /// at any daemon.
     pub drain_failures: Option<u64>,
-    /// Connections that databases refused for their limit.
+    /// Connections that databases refused because of their connection limit.
     pub connections_refused: u64,
-    /// Parts that did not run, with the reason.
+    /// Measurements that did not run, each with the reason.
     pub not_run: Vec<String>,
 }
 
 impl DemoReport {
-    /// True if no promise was broken.
-    pub fn keeps_promises(&self) -> bool {
+    /// True if the history shows no violation and every measurement ran.
+    pub fn guarantees_hold(&self) -> bool {
         let history = &self.history;
         history.lost_writes == 0
             && history.doubled_writes == 0
@@ -36,10 +38,10 @@
             && self.not_run.is_empty()
     }
 
-    /// The report for people.
+    /// Formats the report as lines of name and value.
     pub fn to_text(&self) -> String {
         let history = &self.history;
-        let figure = |value: Option<f64>, unit: &str| match value {
+        let format_value = |value: Option<f64>, unit: &str| match value {
             Some(value) => format!("{value:.1}{unit}"),
             None => "not measured".to_owned(),
         };
@@ -53,10 +55,10 @@
             ("doubled writes", history.doubled_writes.to_string()),
             ("stale session reads", history.stale_session_reads.to_string()),
             ("crossed answers", history.crossed_answers.to_string()),
-            ("reads at replicas", figure(share, " %")),
-            ("failover gap", figure(self.failover_gap_ms, " ms")),
-            ("p50", figure(self.p50_ms, " ms")),
-            ("p99", figure(self.p99_ms, " ms")),
+            ("reads at replicas", format_value(share, " %")),
+            ("failover gap", format_value(self.failover_gap_ms, " ms")),
+            ("p50", format_value(self.p50_ms, " ms")),
+            ("p99", format_value(self.p99_ms, " ms")),
             ("connections refused", self.connections_refused.to_string()),
         ];
         let mut text = String::new();
--- a/crates/lab/src/demo/demo_run.rs
+++ b/crates/lab/src/demo/demo_run.rs
@@ -15,9 +15,9 @@
     upstreams::{Fault, LoggedStatement, StandInGroup},
 };
 
-/// Callers of each group.
+/// Callers that use each group.
 const CALLERS_PER_GROUP: u32 = 6;
-/// Time for replication and returning databases to settle before the end
+/// Time for replicas and restarted databases to catch up before the final
 /// state is read.
 const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 /// Tables that the callers use.
@@ -28,12 +28,12 @@
     "INSERT INTO counter (value) VALUES (0)",
 ];
 
-/// What the demo runs.
+/// Settings of a demo run.
 #[derive(Debug, Clone)]
 pub struct DemoPlan {
     /// Sizes and delays of the upstreams.
     pub deployment: Deployment,
-    /// Seed of callers and stand-ins.
+    /// Seed of the callers and the stand-in databases.
     pub seed: u64,
     /// Length of the run.
     pub length: Duration,
@@ -50,11 +50,12 @@
     started_at: Instant,
 }
 
-/// Runs the demo: callers roam between three daemons, one primary fails and
-/// comes back, one daemon drains and comes back.
+/// Runs the demo: callers switch between three daemons while one primary fails
+/// and recovers, and one daemon drains and restarts.
 ///
 /// # Errors
-/// `ClusterError` if the cluster does not start.
+/// `ClusterError` if the cluster does not start, does not serve again after the
+/// faults, or its final state cannot be read.
 pub async fn run_demo(plan: DemoPlan) -> Result<DemoReport, ClusterError> {
     let cluster_plan = ClusterPlan {
         deployment: plan.deployment.clone(),
@@ -63,12 +64,12 @@
         gateways_per_group: 3,
         seed: plan.seed,
     };
-    let say = |text: String| {
+    let print_progress = |text: String| {
         if plan.verbose {
             eprintln!("{text}");
         }
     };
-    say(format!(
+    print_progress(format!(
         "Starting 3 daemons and {} groups of {} databases ...",
         plan.deployment.instances, plan.deployment.databases
     ));
@@ -78,67 +79,72 @@
     }
     let mut run =
         DemoRun { plan, cluster, history: SharedHistory::default(), started_at: Instant::now() };
-    run.perform().await
+    run.run().await
 }
 
 async fn create_schema(cluster: &LabCluster, group: usize) -> Result<(), ClusterError> {
     let name = cluster.group_name(group);
-    let failed = |failure: CallFailure| ClusterError::Request { text: failure.text };
+    let request_error = |failure: CallFailure| ClusterError::Request { text: failure.text };
     let daemon = cluster.caller_addresses()[0];
-    let caller = LabCaller::connect(daemon, &name, &[]).await.map_err(failed)?;
+    let caller = LabCaller::connect(daemon, &name, &[]).await.map_err(request_error)?;
     for sql in SCHEMA {
-        caller.simple_query(sql).await.map_err(failed)?;
+        caller.simple_query(sql).await.map_err(request_error)?;
     }
     Ok(())
 }
 
 impl DemoRun {
-    fn say(&self, text: &str) {
+    fn print_progress(&self, text: &str) {
         if self.plan.verbose {
             eprintln!("{:6.1} s  {text}", self.started_at.elapsed().as_secs_f64());
         }
     }
 
-    async fn at(&self, share: f64) {
+    /// Sleeps until this share of the run has passed, 0 to 1.
+    async fn sleep_until_share(&self, share: f64) {
         sleep_until(self.started_at + self.plan.length.mul_f64(share)).await;
     }
 
-    async fn perform(&mut self) -> Result<DemoReport, ClusterError> {
+    async fn run(&mut self) -> Result<DemoReport, ClusterError> {
         let cancel = CancellationToken::new();
         let callers = self.start_callers(&cancel);
-        self.say(&format!("{} callers claim {}s.", callers.len(), self.plan.deployment.claim_word));
+        self.print_progress(&format!(
+            "{} callers claim {}s.",
+            callers.len(),
+            self.plan.deployment.claim_word
+        ));
 
-        self.at(0.25).await;
+        self.sleep_until_share(0.25).await;
         let group = self.cluster.groups[0].clone();
-        let failed = group.primary();
+        let failed_primary = group.primary();
         let failed_at = self.started_at.elapsed();
-        if let Some(primary) = &failed {
-            self.say(&format!("The primary {} fails.", primary.settings.database));
+        if let Some(primary) = &failed_primary {
+            self.print_progress(&format!("The primary {} fails.", primary.settings.database));
             primary.faults.set(Fault::Stopped);
         }
-        self.at(0.5).await;
-        if let Some(primary) = &failed {
-            self.say(&format!("{} comes back.", primary.settings.database));
+        self.sleep_until_share(0.5).await;
+        if let Some(primary) = &failed_primary {
+            self.print_progress(&format!("{} comes back.", primary.settings.database));
             primary.faults.set(Fault::None);
         }
-        self.at(0.6).await;
-        self.say("Daemon h3 drains.");
+        self.sleep_until_share(0.6).await;
+        self.print_progress("Daemon h3 drains.");
         let drained_from = self.started_at.elapsed();
         self.cluster.shut_down(2).await;
         let drained_until = self.started_at.elapsed();
-        self.say("Daemon h3 has stopped.");
-        self.at(0.85).await;
+        self.print_progress("Daemon h3 has stopped.");
+        self.sleep_until_share(0.85).await;
         self.cluster.restart(2).await?;
-        self.say("Daemon h3 is back.");
+        self.print_progress("Daemon h3 is back.");
 
-        self.at(1.0).await;
+        self.sleep_until_share(1.0).await;
         cancel.cancel();
         for caller in callers {
             let _ = caller.await;
         }
         self.cluster.wait_until_serving().await?;
         sleep(SETTLE_TIME).await;
-        self.report(failed_at, drained_from, drained_until)
+        self.build_report(failed_at, drained_from, drained_until)
     }
 
     fn start_callers(&self, cancel: &CancellationToken) -> Vec<tokio::task::JoinHandle<()>> {
@@ -161,25 +167,25 @@
             .collect()
     }
 
-    fn report(
+    fn build_report(
         &self,
         failed_at: Duration,
         drained_from: Duration,
         drained_until: Duration,
     ) -> Result<DemoReport, ClusterError> {
         let history = self.history.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let finals: Result<Vec<FinalState>, ClusterError> =
-            self.cluster.groups.iter().map(|group| final_state(group)).collect();
+        let final_states: Result<Vec<FinalState>, ClusterError> =
+            self.cluster.groups.iter().map(|group| read_final_state(group)).collect();
         let gap = failover_gap(&history, failed_at);
         let mut not_run = Vec::new();
         if gap.is_none() {
             not_run
                 .push("no write of the failed group was acknowledged after the fault".to_owned());
         }
-        let during = |operation: &&RecordedOperation| {
+        let during_drain = |operation: &&RecordedOperation| {
             operation.sent_at >= drained_from && operation.answered_at <= drained_until
         };
-        let open = history.iter().filter(during).filter(|operation| {
+        let drain_failures = history.iter().filter(during_drain).filter(|operation| {
             matches!(operation.result, OperationResult::Unknown | OperationResult::DidNotRun)
         });
         Ok(DemoReport {
@@ -187,15 +193,16 @@
             failover_gap_ms: gap.map(|gap| gap.as_secs_f64() * 1_000.0),
             p50_ms: percentile(&history, 0.5),
             p99_ms: percentile(&history, 0.99),
-            drain_failures: Some(open.count() as u64),
+            drain_failures: Some(drain_failures.count() as u64),
             connections_refused: refused_connections(&self.cluster.groups),
             not_run,
-            history: check_history(&history, &finals?),
+            history: check_history(&history, &final_states?),
         })
     }
 }
 
-/// From the fault to the answer of the first write that was sent after it.
+/// Returns the time from the fault to the first acknowledgement of a write to
+/// the failed group that was sent after the fault.
 fn failover_gap(history: &[RecordedOperation], failed_at: Duration) -> Option<Duration> {
     history
         .iter()
@@ -208,13 +215,14 @@
         .min()
 }
 
-fn percentile(history: &[RecordedOperation], share: f64) -> Option<f64> {
-    let mut times: Vec<Duration> =
+/// Request latency at this quantile, in milliseconds; `None` without requests.
+fn percentile(history: &[RecordedOperation], quantile: f64) -> Option<f64> {
+    let mut latencies: Vec<Duration> =
         history.iter().map(|operation| operation.answered_at - operation.sent_at).collect();
-    times.sort_unstable();
-    let last = times.len().checked_sub(1)?;
-    let place = (last as f64 * share).round() as usize;
-    Some(times[place].as_secs_f64() * 1_000.0)
+    latencies.sort_unstable();
+    let last = latencies.len().checked_sub(1)?;
+    let index = (last as f64 * quantile).round() as usize;
+    Some(latencies[index].as_secs_f64() * 1_000.0)
 }
 
 fn replica_share(groups: &[Arc<StandInGroup>]) -> Option<f64> {
@@ -229,30 +237,30 @@
     databases.map(|database| database.counters.refused.load(Ordering::Relaxed)).sum()
 }
 
-/// What a group holds at its primary.
-fn final_state(group: &StandInGroup) -> Result<FinalState, ClusterError> {
-    let primary = group
-        .primary()
-        .ok_or_else(|| ClusterError::Timeout { what: "a primary at the end".to_owned() })?;
+/// Reads the committed tables of a group at its primary.
+fn read_final_state(group: &StandInGroup) -> Result<FinalState, ClusterError> {
+    let primary = group.primary().ok_or_else(|| ClusterError::Timeout {
+        what: "a primary at the end of the run".to_owned(),
+    })?;
     let core = primary.core();
     let rows = |sql: &str| {
         let statement = LoggedStatement { sql: sql.to_owned(), parameters: Vec::new() };
         let rows = core.committed().run(&statement);
         rows.map(|rows| rows.rows).map_err(|source| ClusterError::Upstream { source })
     };
-    let number = |value: &Value| match value {
-        Value::Integer(number) => *number as u64,
+    let integer = |value: &Value| match value {
+        Value::Integer(integer) => *integer as u64,
         _ => 0,
     };
     let mut state = FinalState::default();
     for row in rows("SELECT session, number FROM ledger")? {
-        state.entries.insert((number(&row[0]) as u32, number(&row[1])));
+        state.entries.insert((integer(&row[0]) as u32, integer(&row[1])));
     }
     for row in rows("SELECT item, holder FROM claims")? {
-        state.claims.insert(number(&row[0]), number(&row[1]) as u32);
+        state.claims.insert(integer(&row[0]), integer(&row[1]) as u32);
     }
     for row in rows("SELECT value FROM counter")? {
-        state.counter = number(&row[0]);
+        state.counter = integer(&row[0]);
     }
     Ok(state)
 }
--- a/crates/lab/src/demo/mod.rs
+++ b/crates/lab/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! The demo: daemons, upstreams and callers in one process, with faults.
+//! The demo: runs daemons, upstreams and callers in one process and injects faults.
 
 mod demo_caller;
 mod demo_report;
--- a/crates/lab/src/deployments/deployment.rs
+++ b/crates/lab/src/deployments/deployment.rs
@@ -1,6 +1,6 @@
 use std::{str::FromStr, time::Duration};
 
-/// The users whose deployments can be run.
+/// Names of the deployments, one for each user of hawthornstack.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeploymentName {
     /// Lone Star Banquet Staffing Cooperative.
@@ -16,7 +16,7 @@
         match text {
             "lone-star" => Ok(Self::LoneStar),
             "cascade" => Ok(Self::Cascade),
-            _ => Err("give lone-star or cascade".to_owned()),
+            _ => Err("expected lone-star or cascade".to_owned()),
         }
     }
 }
@@ -24,32 +24,32 @@
 /// Sizes and delays of one deployment.
 #[derive(Debug, Clone)]
 pub struct Deployment {
-    /// Its service.
+    /// Name of the service.
     pub service: &'static str,
-    /// Its region, before the number of a data centre.
+    /// Prefix of the names of data centres, before a hyphen and a number.
     pub region: &'static str,
-    /// Count of data centres.
+    /// Number of data centres.
     pub data_centres: u32,
-    /// Instances of the service.
+    /// Number of instances of the service; each has one group of databases.
     pub instances: u32,
-    /// Databases of an instance.
+    /// Number of databases of each instance.
     pub databases: u32,
-    /// Statements that a database runs at a time.
+    /// Number of statements that a database runs concurrently.
     pub slots: u32,
-    /// Connections that a database accepts.
+    /// Number of connections that a database accepts.
     pub connections: u32,
-    /// Cost of a new connection.
+    /// Time that a database takes to open a connection.
     pub connection_cost: Duration,
-    /// Time that a statement holds its slot.
+    /// Time that a statement occupies a slot.
     pub service_time: Duration,
-    /// Mean lag of a replica.
+    /// Mean replication lag of a replica.
     pub lag: Duration,
-    /// Words of the demo for what is claimed.
+    /// What a claim stands for, singular, in the demo's progress messages.
     pub claim_word: &'static str,
 }
 
 impl Deployment {
-    /// The named deployment at its size of today.
+    /// Current size and delays of a user's deployment.
     pub fn named(name: DeploymentName) -> Self {
         match name {
             DeploymentName::LoneStar => Self {
--- a/crates/lab/src/deployments/mod.rs
+++ b/crates/lab/src/deployments/mod.rs
@@ -1,4 +1,4 @@
-//! The two users' deployments, as sizes and delays.
+//! Sizes and delays of the two users' deployments.
 
 mod deployment;
 
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-in upstreams, histories and experiments for hawthornstack.
+//! Stand-in upstreams, recorded histories and experiments for hawthornstack.
 
 pub mod cluster;
 pub mod demo;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `hawthornstack-lab`, stand-ins and experiments.
+//! `hawthornstack-lab`: runs stand-in upstreams and experiments.
 
 use std::{process::ExitCode, time::Duration};
 
@@ -15,9 +15,9 @@
     standalone::{StandalonePlan, run_standalone},
 };
 
-/// Exit code for a broken promise.
-const EXIT_BROKEN: u8 = 1;
-/// Exit code for an experiment that did not run.
+/// Exit code of a run that found a violated guarantee.
+const EXIT_VIOLATION: u8 = 1;
+/// Exit code of an experiment that could not run.
 const EXIT_NOT_RUN: u8 = 3;
 
 /// Stand-in upstreams, load and experiments.
@@ -154,17 +154,17 @@
 fn main() -> ExitCode {
     let arguments: LabArguments = argh::from_env();
     match arguments.command {
-        LabCommand::Demo(command) => demo(&command),
-        LabCommand::Fail(command) => fail(&command),
-        LabCommand::Latency(command) => latency(&command),
-        LabCommand::Load(command) => load(&command),
-        LabCommand::Slopes(command) => slopes(&command),
-        LabCommand::Upstreams(command) => upstreams(&command),
+        LabCommand::Demo(command) => run_demo_command(&command),
+        LabCommand::Fail(command) => run_fail_command(&command),
+        LabCommand::Latency(command) => run_latency_command(&command),
+        LabCommand::Load(command) => run_load_command(&command),
+        LabCommand::Slopes(command) => run_slopes_command(&command),
+        LabCommand::Upstreams(command) => run_upstreams_command(&command),
     }
 }
 
 #[tokio::main]
-async fn demo(command: &DemoCommand) -> ExitCode {
+async fn run_demo_command(command: &DemoCommand) -> ExitCode {
     let settings =
         LogSettings { level: Some(command.logs.as_str().into()), ..LogSettings::default() };
     let _logs = start_logs(&settings);
@@ -184,31 +184,31 @@
     if command.json {
         match serde_json::to_string(&report) {
             Ok(text) => println!("{text}"),
-            Err(error) => eprintln!("The report cannot be written: {error}."),
+            Err(error) => eprintln!("Cannot encode the report as JSON: {error}."),
         }
     } else {
         print!("{}", report.to_text());
     }
-    match report.keeps_promises() {
+    match report.guarantees_hold() {
         true => ExitCode::SUCCESS,
-        false => ExitCode::from(EXIT_BROKEN),
+        false => ExitCode::from(EXIT_VIOLATION),
     }
 }
 
 fn print_json(value: &impl serde::Serialize) {
     match serde_json::to_string(value) {
         Ok(text) => println!("{text}"),
-        Err(error) => eprintln!("A record cannot be written: {error}."),
+        Err(error) => eprintln!("Cannot encode a record as JSON: {error}."),
     }
 }
 
-fn not_run(error: &ClusterError) -> ExitCode {
+fn report_not_run(error: &ClusterError) -> ExitCode {
     eprintln!("The experiment did not run: {error}.");
     ExitCode::from(EXIT_NOT_RUN)
 }
 
 #[tokio::main]
-async fn fail(command: &FailCommand) -> ExitCode {
+async fn run_fail_command(command: &FailCommand) -> ExitCode {
     let plan = FaultPlan {
         deployment: Deployment::named(command.deployment),
         rounds: command.rounds,
@@ -216,18 +216,20 @@
     };
     let records = match run_faults(&plan, print_json).await {
         Ok(records) => records,
-        Err(error) => return not_run(&error),
+        Err(error) => return report_not_run(&error),
     };
     summarize(&records).iter().for_each(print_json);
-    let paused = |r: &&FaultRecord| r.kind == FaultKind::Paused && r.term_after > r.term_before;
-    match records.iter().filter(paused).count() {
+    // A primary that only pauses must not be replaced.
+    let paused_failover =
+        |r: &&FaultRecord| r.kind == FaultKind::Paused && r.term_after > r.term_before;
+    match records.iter().filter(paused_failover).count() {
         0 => ExitCode::SUCCESS,
-        _ => ExitCode::from(EXIT_BROKEN),
+        _ => ExitCode::from(EXIT_VIOLATION),
     }
 }
 
 #[tokio::main]
-async fn upstreams(command: &UpstreamsCommand) -> ExitCode {
+async fn run_upstreams_command(command: &UpstreamsCommand) -> ExitCode {
     let daemons = match command.daemon.is_empty() {
         true => vec![std::net::SocketAddr::from(([127, 0, 0, 1], 8432))],
         false => command.daemon.clone(),
@@ -243,12 +245,12 @@
     };
     match run_standalone(&plan).await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => not_run(&error),
+        Err(error) => report_not_run(&error),
     }
 }
 
 #[tokio::main]
-async fn latency(command: &LatencyCommand) -> ExitCode {
+async fn run_latency_command(command: &LatencyCommand) -> ExitCode {
     let plan = LatencyPlan {
         deployment: Deployment::named(command.deployment),
         callers: command.callers,
@@ -260,12 +262,12 @@
             print_json(&report);
             ExitCode::SUCCESS
         }
-        Err(error) => not_run(&error),
+        Err(error) => report_not_run(&error),
     }
 }
 
 #[tokio::main]
-async fn load(command: &LoadCommand) -> ExitCode {
+async fn run_load_command(command: &LoadCommand) -> ExitCode {
     let factors = match command.factor.is_empty() {
         true => vec![0.7, 1.0, 1.5, 3.0],
         false => command.factor.clone(),
@@ -284,14 +286,14 @@
         };
         match run_load(&plan).await {
             Ok(report) => print_json(&report),
-            Err(error) => return not_run(&error),
+            Err(error) => return report_not_run(&error),
         }
     }
     ExitCode::SUCCESS
 }
 
 #[tokio::main]
-async fn slopes(command: &SlopesCommand) -> ExitCode {
+async fn run_slopes_command(command: &SlopesCommand) -> ExitCode {
     match run_slopes(command.seed).await {
         Ok(lines) if command.json => {
             lines.iter().for_each(print_json);
@@ -301,6 +303,6 @@
             lines.iter().for_each(|line| println!("{}", line.to_text()));
             ExitCode::SUCCESS
         }
-        Err(error) => not_run(&error),
+        Err(error) => report_not_run(&error),
     }
 }
