--- a/crates/lab/src/latency/latency_run.rs
+++ b/crates/lab/src/latency/latency_run.rs
@@ -9,49 +9,50 @@
     deployments::Deployment,
 };
 
-/// Statement of all reads.
-const READ: &str = "SELECT value FROM items WHERE item = 7";
+/// Statement that all callers send.
+const READ_SQL: &str = "SELECT value FROM items WHERE item = 7";
 
-/// What to run.
+/// Settings of a latency run.
 #[derive(Debug, Clone)]
 pub struct LatencyPlan {
     /// Sizes and delays of the upstreams.
     pub deployment: Deployment,
-    /// Concurrent callers.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Length of each run.
+    /// Length of each of the six measurements.
     pub length: Duration,
-    /// Seed of the stand-ins.
+    /// Seed of the stand-in databases.
     pub seed: u64,
 }
 
-/// Figures of one path.
+/// Throughput and latency of one path to the database.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PathFigures {
-    /// Requests answered in a second.
+    /// Requests answered per second.
     pub per_second: f64,
-    /// Median time, in microseconds.
+    /// Median latency, in microseconds.
     pub p50_us: u64,
-    /// 99th percentile of the time, in microseconds.
+    /// 99th percentile of the latency, in microseconds.
     pub p99_us: u64,
 }
 
-/// Direct and proxied, in one run.
+/// Comparison of direct and proxied requests in one run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LatencyReport {
-    /// Concurrent callers.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Straight to one database.
+    /// Measured directly at the database.
     pub direct: PathFigures,
-    /// Through one daemon to the same database alone.
+    /// Measured through one daemon, whose only database this is.
     pub proxied: PathFigures,
-    /// Median proxied over direct.
+    /// Median latency through the daemon, divided by the direct one.
     pub p50_ratio: f64,
-    /// Throughput proxied over direct.
+    /// Throughput through the daemon, divided by the direct one.
     pub throughput_ratio: f64,
 }
 
-/// Reads from the same database, straight and through one daemon, in turns.
+/// Measures reads of the same database, alternating between direct connections
+/// and connections through one daemon.
 ///
 /// # Errors
 /// `ClusterError` if the cluster does not start or a request fails.
@@ -63,19 +64,19 @@
     let group = cluster.group_name(0);
     let daemon = cluster.caller_addresses()[0];
     let database = cluster.groups[0].databases[0].address;
-    let first = connect(daemon, &group).await?;
+    let setup_caller = connect(daemon, &group).await?;
     for sql in ["CREATE TABLE items (item BIGINT, value BIGINT)", "INSERT INTO items VALUES (7, 1)"]
     {
-        first.simple_query(sql).await.map_err(failed)?;
+        setup_caller.simple_query(sql).await.map_err(request_error)?;
     }
     let mut direct = Vec::new();
     let mut proxied = Vec::new();
     for _ in 0..3 {
-        direct.push(measure(database, &group, plan).await?);
-        proxied.push(measure(daemon, &group, plan).await?);
+        direct.push(measure_path(database, &group, plan).await?);
+        proxied.push(measure_path(daemon, &group, plan).await?);
     }
-    let direct = median(direct);
-    let proxied = median(proxied);
+    let direct = median_run(direct);
+    let proxied = median_run(proxied);
     Ok(LatencyReport {
         callers: plan.callers,
         p50_ratio: proxied.p50_us as f64 / direct.p50_us as f64,
@@ -85,29 +86,29 @@
     })
 }
 
-fn failed(failure: CallFailure) -> ClusterError {
+fn request_error(failure: CallFailure) -> ClusterError {
     ClusterError::Request { text: failure.text }
 }
 
 async fn connect(address: SocketAddr, group: &str) -> Result<LabCaller, ClusterError> {
-    LabCaller::connect(address, group, &[]).await.map_err(failed)
+    LabCaller::connect(address, group, &[]).await.map_err(request_error)
 }
 
-/// The run with the median throughput.
-fn median(mut runs: Vec<PathFigures>) -> PathFigures {
+/// Returns the measurement with the median throughput.
+fn median_run(mut runs: Vec<PathFigures>) -> PathFigures {
     runs.sort_by(|a, b| a.per_second.total_cmp(&b.per_second));
     runs.swap_remove(runs.len() / 2)
 }
 
-async fn measure(
+async fn measure_path(
     address: SocketAddr,
     group: &str,
     plan: &LatencyPlan,
 ) -> Result<PathFigures, ClusterError> {
     let invalid =
         |error: hdrhistogram::CreationError| ClusterError::Invalid { text: error.to_string() };
-    let times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(invalid)?;
-    let times = Arc::new(Mutex::new(times));
+    let latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(invalid)?;
+    let latencies = Arc::new(Mutex::new(latencies));
     let mut callers = Vec::new();
     for _ in 0..plan.callers {
         callers.push(connect(address, group).await?);
@@ -116,29 +117,29 @@
     let ends_at = started_at + plan.length;
     let tasks: Vec<_> = callers
         .into_iter()
-        .map(|caller| tokio::spawn(read_until(caller, ends_at, times.clone())))
+        .map(|caller| tokio::spawn(send_reads_until(caller, ends_at, latencies.clone())))
         .collect();
     for task in tasks {
         task.await.map_err(|error| ClusterError::Invalid { text: error.to_string() })??;
     }
     let elapsed = started_at.elapsed().as_secs_f64();
-    let times = times.lock().await;
+    let latencies = latencies.lock().await;
     Ok(PathFigures {
-        per_second: times.len() as f64 / elapsed,
-        p50_us: times.value_at_quantile(0.5),
-        p99_us: times.value_at_quantile(0.99),
+        per_second: latencies.len() as f64 / elapsed,
+        p50_us: latencies.value_at_quantile(0.5),
+        p99_us: latencies.value_at_quantile(0.99),
     })
 }
 
-async fn read_until(
+async fn send_reads_until(
     caller: LabCaller,
     ends_at: Instant,
-    times: Arc<Mutex<Histogram<u64>>>,
+    latencies: Arc<Mutex<Histogram<u64>>>,
 ) -> Result<(), ClusterError> {
     while Instant::now() < ends_at {
         let sent_at = Instant::now();
-        caller.simple_query(READ).await.map_err(failed)?;
-        times.lock().await.saturating_record(sent_at.elapsed().as_micros() as u64);
+        caller.simple_query(READ_SQL).await.map_err(request_error)?;
+        latencies.lock().await.saturating_record(sent_at.elapsed().as_micros() as u64);
     }
     Ok(())
 }
--- a/crates/lab/src/latency/mod.rs
+++ b/crates/lab/src/latency/mod.rs
@@ -1,4 +1,5 @@
-//! What the proxy adds to a request, against the same databases without it.
+//! Latency and throughput of requests through a daemon, compared with direct
+//! requests to the same database.
 
 mod latency_run;
 
--- a/crates/lab/src/load/load_profile.rs
+++ b/crates/lab/src/load/load_profile.rs
@@ -3,26 +3,28 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Age that aged reads accept.
-const READ_AGE: Duration = Duration::from_secs(1);
+/// Maximum staleness that stale reads accept.
+const MAX_READ_AGE: Duration = Duration::from_secs(1);
 
 /// A mix of statements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadProfile {
     /// Crews are confirmed at call time: many writes.
     CallTime,
-    /// Workers browse open shifts: almost only reads that accept age.
+    /// Workers browse open shifts: almost only stale reads.
     Browsing,
-    /// The peak before the holy days: reads that accept age, some writes.
+    /// The peak before the holy days: mostly stale reads, few writes.
     HolyDays,
-    /// Claims compete for few items.
+    /// Workers claim items: half of the statements are writes.
     Claims,
 }
 
-/// One statement of a load.
+/// Kind of a statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LoadStatement {
-    AgedRead,
+    /// Accepts data up to `MAX_READ_AGE` old.
+    StaleRead,
+    /// Must see the earlier writes of its session.
     SessionRead,
     Write,
 }
@@ -36,14 +38,14 @@
             "browsing" => Ok(Self::Browsing),
             "holy-days" => Ok(Self::HolyDays),
             "claims" => Ok(Self::Claims),
-            _ => Err("give call-time, browsing, holy-days or claims".to_owned()),
+            _ => Err("expected call-time, browsing, holy-days or claims".to_owned()),
         }
     }
 }
 
 impl LoadProfile {
-    /// Percent of aged reads and of session reads; the rest are writes.
-    const fn percent(self) -> (u32, u32) {
+    /// Percentages of stale reads and of session reads; the rest are writes.
+    const fn read_percentages(self) -> (u32, u32) {
         match self {
             Self::CallTime => (40, 30),
             Self::Browsing => (95, 4),
@@ -52,31 +54,31 @@
         }
     }
 
-    pub(super) fn choose(self, rng: &mut ChaCha8Rng) -> LoadStatement {
-        let (aged, session) = self.percent();
+    pub(super) fn choose_statement(self, rng: &mut ChaCha8Rng) -> LoadStatement {
+        let (stale, session) = self.read_percentages();
         match rng.random_range(0..100) {
-            share if share < aged => LoadStatement::AgedRead,
-            share if share < aged + session => LoadStatement::SessionRead,
+            percent if percent < stale => LoadStatement::StaleRead,
+            percent if percent < stale + session => LoadStatement::SessionRead,
             _ => LoadStatement::Write,
         }
     }
 
-    /// Statements a second that one group can run: reads on all databases,
-    /// writes on the primary alone.
+    /// Statements per second that one group can run: reads on all databases,
+    /// writes only on the primary.
     pub(super) fn capacity(self, slots: u32, databases: u32, service_time: Duration) -> f64 {
-        let (aged, session) = self.percent();
-        let writes = f64::from(100 - aged - session) / 100.0;
-        let one = f64::from(slots) / service_time.as_secs_f64();
-        (one * f64::from(databases)).min(one / writes.max(1e-6))
+        let (stale, session) = self.read_percentages();
+        let writes = f64::from(100 - stale - session) / 100.0;
+        let per_database = f64::from(slots) / service_time.as_secs_f64();
+        (per_database * f64::from(databases)).min(per_database / writes.max(1e-6))
     }
 }
 
 impl LoadStatement {
     pub(super) fn sql(self, item: u64) -> String {
         match self {
-            Self::AgedRead => format!(
+            Self::StaleRead => format!(
                 "/* hawthornstack: max_age={}ms */ SELECT value FROM items WHERE item = {item}",
-                READ_AGE.as_millis()
+                MAX_READ_AGE.as_millis()
             ),
             Self::SessionRead => format!("SELECT value FROM items WHERE item = {item}"),
             Self::Write => format!("UPDATE items SET value = value + 1 WHERE item = {item}"),
--- a/crates/lab/src/load/load_report.rs
+++ b/crates/lab/src/load/load_report.rs
@@ -1,34 +1,37 @@
 use serde::{Deserialize, Serialize};
 
-/// What a load found. Times are counted from when a request was due, so that a
-/// slow answer also counts for the requests that it held up.
+/// Results of a load run. Latencies are measured from the time a request was
+/// due, so that a slow answer also counts against the requests that it delayed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Multiple of the databases' capacity.
     pub factor: f64,
-    /// Requests due in a second.
+    /// Requests due per second.
     pub offered_per_second: f64,
-    /// Requests answered correctly within the deadline, a second.
+    /// Requests answered correctly within the deadline, per second.
     pub goodput_per_second: f64,
-    /// Requests sent.
+    /// Requests that came due, including those that found no idle connection.
     pub sent: u64,
-    /// Answered correctly but after the deadline.
+    /// Requests answered correctly after the deadline, or not sent because no
+    /// connection of the caller was idle.
     pub late: u64,
-    /// Told that they did not run.
+    /// Requests that failed and did not run.
     pub refused: u64,
-    /// Left open.
+    /// Requests that failed with any other outcome.
     pub unknown: u64,
-    /// Median time of the good answers, in milliseconds.
+    /// Median latency of the answers within the deadline, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the good answers, in milliseconds.
+    /// 99th percentile of the latency of the answers within the deadline, in
+    /// milliseconds.
     pub p99_ms: f64,
-    /// Reads that replicas served, as the databases counted them.
+    /// Share of reads that replicas served, 0 to 1, from the counters of the
+    /// databases.
     pub replica_read_share: f64,
-    /// Largest over smallest share of good answers among callers with equal
-    /// load.
+    /// Most answers within the deadline of any caller, divided by the fewest;
+    /// all callers offer the same load.
     pub best_to_worst: f64,
-    /// Connections opened to databases per thousand statements.
+    /// Connections that databases accepted, per thousand statements.
     pub opened_per_thousand: f64,
-    /// Connections refused by databases.
+    /// Connections that databases refused because of their connection limit.
     pub connections_refused: u64,
 }
--- a/crates/lab/src/load/load_run.rs
+++ b/crates/lab/src/load/load_run.rs
@@ -18,18 +18,19 @@
     deployments::Deployment,
 };
 
-/// Callers' names, each with the same load.
+/// User names of the callers; each offers the same load.
 const CALLER_NAMES: [&str; 4] = ["agency-1", "agency-2", "agency-3", "agency-4"];
-/// Time within which an answer is good.
+/// Latency up to which an answer counts as goodput; also the timeout that the
+/// callers set.
 const DEADLINE: Duration = Duration::from_millis(500);
-/// Time that a statement holds its slot under load.
+/// Time that a statement occupies a slot, in place of the deployment's.
 const SERVICE_TIME: Duration = Duration::from_millis(5);
-/// Rows that the statements use.
-const ITEMS: u64 = 200;
-/// Connections of each name.
-const CONNECTIONS: usize = 400;
+/// Rows that the statements read and update.
+const ITEM_COUNT: u64 = 200;
+/// Connections of each caller.
+const CONNECTIONS_PER_CALLER: usize = 400;
 
-/// What to run.
+/// Settings of a load run.
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
     /// Sizes and delays of the upstreams.
@@ -40,32 +41,33 @@
     pub factor: f64,
     /// Length of the run.
     pub length: Duration,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: u32,
-    /// Seed of arrivals and stand-ins.
+    /// Seed of the arrival latencies and the stand-in databases.
     pub seed: u64,
 }
 
-/// Counts of one caller's name.
+/// Request counters of one caller.
 #[derive(Debug, Default)]
-struct NameCounts {
+struct CallerCounts {
     sent: AtomicU64,
-    good: AtomicU64,
+    in_time: AtomicU64,
     late: AtomicU64,
     refused: AtomicU64,
     unknown: AtomicU64,
 }
 
-/// Idle connections of one name.
-type IdleCallers = Arc<Mutex<Vec<LabCaller>>>;
+/// Idle connections of one caller.
+type IdleConnections = Arc<Mutex<Vec<LabCaller>>>;
 
-struct LoadTarget {
-    counts: Arc<[NameCounts; 4]>,
-    times: Arc<Mutex<Histogram<u64>>>,
-    idle: Vec<IdleCallers>,
+/// Counters, latencies and idle connections of a run.
+struct LoadState {
+    counts: Arc<[CallerCounts; 4]>,
+    latencies: Arc<Mutex<Histogram<u64>>>,
+    idle: Vec<IdleConnections>,
 }
 
-fn failed(failure: CallFailure) -> ClusterError {
+fn request_error(failure: CallFailure) -> ClusterError {
     ClusterError::Request { text: failure.text }
 }
 
@@ -73,11 +75,11 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Sends requests at their due times, whether or not earlier ones were
-/// answered.
+/// Sends requests at their due latencies, whether or not earlier ones were
+/// answered (open loop).
 ///
 /// # Errors
-/// `ClusterError` if the cluster does not start.
+/// `ClusterError` if the cluster does not start or its table cannot be created.
 pub async fn run_load(plan: &LoadPlan) -> Result<LoadReport, ClusterError> {
     let deployment =
         Deployment { instances: 1, service_time: SERVICE_TIME, ..plan.deployment.clone() };
@@ -90,90 +92,93 @@
         seed: plan.seed,
     };
     let cluster = LabCluster::start(cluster_plan).await?;
-    let target = prepare(&cluster).await?;
+    let state = prepare_load(&cluster).await?;
     let offered = capacity * plan.factor;
     let started_at = Instant::now();
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let mut due = started_at;
     let mut tasks = Vec::new();
-    let mut turn = 0_usize;
+    let mut request_number = 0_usize;
     while due.duration_since(started_at) < plan.length {
-        let gap = -rng.random_range(f64::EPSILON..1.0_f64).ln() / offered;
-        due += Duration::from_secs_f64(gap);
+        // Poisson arrivals: the intervals are exponentially distributed.
+        let interval = -rng.random_range(f64::EPSILON..1.0_f64).ln() / offered;
+        due += Duration::from_secs_f64(interval);
         sleep_until(due).await;
-        let name = turn % CALLER_NAMES.len();
-        turn += 1;
-        let statement = plan.profile.choose(&mut rng);
-        let item = rng.random_range(0..ITEMS);
-        tasks.push(tokio::spawn(send(target.share(name), statement, item, due)));
+        let caller = request_number % CALLER_NAMES.len();
+        request_number += 1;
+        let statement = plan.profile.choose_statement(&mut rng);
+        let item = rng.random_range(0..ITEM_COUNT);
+        tasks.push(tokio::spawn(send_request(state.request_context(caller), statement, item, due)));
     }
     for task in tasks {
         let _ = task.await;
     }
-    Ok(report(plan, offered, &cluster, &target))
+    Ok(build_report(plan, offered, &cluster, &state))
 }
 
-async fn prepare(cluster: &LabCluster) -> Result<LoadTarget, ClusterError> {
+/// Creates the table and opens all connections.
+async fn prepare_load(cluster: &LabCluster) -> Result<LoadState, ClusterError> {
     let group = cluster.group_name(0);
     let daemons = cluster.caller_addresses();
-    let first = LabCaller::connect(daemons[0], &group, &[]).await.map_err(failed)?;
-    first
+    let setup_caller = LabCaller::connect(daemons[0], &group, &[]).await.map_err(request_error)?;
+    setup_caller
         .simple_query("CREATE TABLE items (item BIGINT PRIMARY KEY, value BIGINT)")
         .await
-        .map_err(failed)?;
-    let rows: Vec<String> = (0..ITEMS).map(|item| format!("({item}, 0)")).collect();
+        .map_err(request_error)?;
+    let rows: Vec<String> = (0..ITEM_COUNT).map(|item| format!("({item}, 0)")).collect();
     let insert = format!("INSERT INTO items VALUES {}", rows.join(", "));
-    first.simple_query(&insert).await.map_err(failed)?;
+    setup_caller.simple_query(&insert).await.map_err(request_error)?;
     let settings = [format!("hawthornstack.timeout={}ms", DEADLINE.as_millis())];
     let mut idle = Vec::new();
     for name in CALLER_NAMES {
         let mut callers = Vec::new();
-        for number in 0..CONNECTIONS {
+        for number in 0..CONNECTIONS_PER_CALLER {
             let daemon = daemons[number % daemons.len()];
             let caller = LabCaller::connect_as(daemon, &group, name, &settings).await;
-            callers.push(caller.map_err(failed)?);
+            callers.push(caller.map_err(request_error)?);
         }
         idle.push(Arc::new(Mutex::new(callers)));
     }
-    let times = Histogram::new_with_bounds(1, 60_000_000, 3)
+    let latencies = Histogram::new_with_bounds(1, 60_000_000, 3)
         .map_err(|error| ClusterError::Invalid { text: error.to_string() })?;
-    Ok(LoadTarget { counts: Arc::default(), times: Arc::new(Mutex::new(times)), idle })
+    Ok(LoadState { counts: Arc::default(), latencies: Arc::new(Mutex::new(latencies)), idle })
 }
 
-/// What one request needs.
-struct LoadShare {
-    name: usize,
-    counts: Arc<[NameCounts; 4]>,
-    times: Arc<Mutex<Histogram<u64>>>,
-    idle: IdleCallers,
+/// What one request needs: the counters of all callers, and the idle connections
+/// of its own.
+struct RequestContext {
+    caller: usize,
+    counts: Arc<[CallerCounts; 4]>,
+    latencies: Arc<Mutex<Histogram<u64>>>,
+    idle: IdleConnections,
 }
 
-impl LoadTarget {
-    fn share(&self, name: usize) -> LoadShare {
-        LoadShare {
-            name,
+impl LoadState {
+    fn request_context(&self, caller: usize) -> RequestContext {
+        RequestContext {
+            caller,
             counts: self.counts.clone(),
-            times: self.times.clone(),
-            idle: self.idle[name].clone(),
+            latencies: self.latencies.clone(),
+            idle: self.idle[caller].clone(),
         }
     }
 }
 
-async fn send(share: LoadShare, statement: LoadStatement, item: u64, due: Instant) {
-    let counts = &share.counts[share.name];
+async fn send_request(context: RequestContext, statement: LoadStatement, item: u64, due: Instant) {
+    let counts = &context.counts[context.caller];
     counts.sent.fetch_add(1, Ordering::Relaxed);
-    let taken = lock(&share.idle).pop();
-    let Some(caller) = taken else {
-        // Every connection of this name waits for an answer.
+    let idle_connection = lock(&context.idle).pop();
+    let Some(connection) = idle_connection else {
+        // Every connection of this caller is busy.
         counts.late.fetch_add(1, Ordering::Relaxed);
         return;
     };
-    let answered = caller.simple_query(&statement.sql(item)).await;
+    let result = connection.simple_query(&statement.sql(item)).await;
     let elapsed = due.elapsed();
-    match &answered {
+    match &result {
         Ok(_) if elapsed <= DEADLINE => {
-            counts.good.fetch_add(1, Ordering::Relaxed);
-            lock(&share.times).saturating_record(elapsed.as_micros() as u64);
+            counts.in_time.fetch_add(1, Ordering::Relaxed);
+            lock(&context.latencies).saturating_record(elapsed.as_micros() as u64);
         }
         Ok(_) => {
             counts.late.fetch_add(1, Ordering::Relaxed);
@@ -185,41 +190,46 @@
             counts.unknown.fetch_add(1, Ordering::Relaxed);
         }
     }
-    if !answered.is_err_and(|failure| failure.connection_lost) {
-        lock(&share.idle).push(caller);
+    if !result.is_err_and(|failure| failure.connection_lost) {
+        lock(&context.idle).push(connection);
     }
 }
 
-fn report(plan: &LoadPlan, offered: f64, cluster: &LabCluster, target: &LoadTarget) -> LoadReport {
-    let sum = |count: fn(&NameCounts) -> &AtomicU64| -> u64 {
-        target.counts.iter().map(|counts| count(counts).load(Ordering::Relaxed)).sum()
+fn build_report(
+    plan: &LoadPlan,
+    offered: f64,
+    cluster: &LabCluster,
+    state: &LoadState,
+) -> LoadReport {
+    let sum = |count: fn(&CallerCounts) -> &AtomicU64| -> u64 {
+        state.counts.iter().map(|counts| count(counts).load(Ordering::Relaxed)).sum()
     };
     let databases = || cluster.groups.iter().flat_map(|group| &group.databases);
-    let counted = |count: fn(&crate::upstreams::DatabaseCounters) -> &AtomicU64| -> u64 {
+    let sum_databases = |count: fn(&crate::upstreams::DatabaseCounters) -> &AtomicU64| -> u64 {
         databases().map(|database| count(&database.counters).load(Ordering::Relaxed)).sum()
     };
-    let good: Vec<f64> =
-        target.counts.iter().map(|counts| counts.good.load(Ordering::Relaxed) as f64).collect();
-    let best = good.iter().copied().fold(0.0, f64::max);
-    let worst = good.iter().copied().fold(f64::INFINITY, f64::min);
-    let replica = counted(|c| &c.replica_reads) as f64;
-    let reads = replica + counted(|c| &c.primary_reads) as f64;
-    let statements = reads + counted(|c| &c.writes) as f64;
-    let times = lock(&target.times);
-    let millis = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1_000.0;
+    let in_time: Vec<f64> =
+        state.counts.iter().map(|counts| counts.in_time.load(Ordering::Relaxed) as f64).collect();
+    let best = in_time.iter().copied().fold(0.0, f64::max);
+    let worst = in_time.iter().copied().fold(f64::INFINITY, f64::min);
+    let replica_reads = sum_databases(|c| &c.replica_reads) as f64;
+    let reads = replica_reads + sum_databases(|c| &c.primary_reads) as f64;
+    let statements = reads + sum_databases(|c| &c.writes) as f64;
+    let latencies = lock(&state.latencies);
+    let millis = |quantile: f64| latencies.value_at_quantile(quantile) as f64 / 1_000.0;
     LoadReport {
         factor: plan.factor,
         offered_per_second: offered,
-        goodput_per_second: sum(|c| &c.good) as f64 / plan.length.as_secs_f64(),
+        goodput_per_second: sum(|c| &c.in_time) as f64 / plan.length.as_secs_f64(),
         sent: sum(|c| &c.sent),
         late: sum(|c| &c.late),
         refused: sum(|c| &c.refused),
         unknown: sum(|c| &c.unknown),
         p50_ms: millis(0.5),
         p99_ms: millis(0.99),
-        replica_read_share: replica / reads.max(1.0),
+        replica_read_share: replica_reads / reads.max(1.0),
         best_to_worst: best / worst.max(1.0),
-        opened_per_thousand: counted(|c| &c.opened) as f64 * 1_000.0 / statements.max(1.0),
-        connections_refused: counted(|c| &c.refused),
+        opened_per_thousand: sum_databases(|c| &c.opened) as f64 * 1_000.0 / statements.max(1.0),
+        connections_refused: sum_databases(|c| &c.refused),
     }
 }
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Open-loop load at a stated multiple of the databases' capacity.
+//! Open-loop load at a given multiple of the databases' capacity.
 
 mod load_profile;
 mod load_report;
