--- a/crates/lab/src/slopes/decision_slopes.rs
+++ b/crates/lab/src/slopes/decision_slopes.rs
@@ -19,17 +19,18 @@
 use super::slope_line::{SlopeLine, SlopePoint};
 use crate::cluster::ClusterError;
 
-/// Sizes of the directory, in groups of three databases.
+/// Numbers of groups in the directory, each of three databases.
 const GROUP_COUNTS: [u32; 4] = [50, 200, 400, 833];
-/// Hosts that ask the leader for leases.
+/// Numbers of hosts that request leases from the leader.
 const HOST_COUNTS: [u32; 4] = [50, 200, 800, 1_700];
 /// Repetitions of a timed step.
 const REPETITIONS: u32 = 300;
-/// Most instances of one service.
-const INSTANCES: u32 = 1_000;
+/// Maximum number of instances of a service; larger counts of groups need more
+/// services.
+const MAX_INSTANCES: u32 = 1_000;
 
-/// A leader that votes alone, driven without a network.
-struct LoneLeader {
+/// A leader that is the only voter, driven without network and disk.
+struct SingleVoter {
     state: HostState,
     now: Moment,
     tickets: u64,
@@ -52,7 +53,7 @@
     })
 }
 
-impl LoneLeader {
+impl SingleVoter {
     fn start(seed: u64) -> Result<Self, ClusterError> {
         let settings = HostSettings {
             record: host_record(1)?,
@@ -74,6 +75,7 @@
         Ok(leader)
     }
 
+    /// Applies an event and confirms all writes to the journal at once.
     fn step(&mut self, event: HostEvent) -> Vec<HostEffect> {
         self.now = self.now + Duration::from_millis(10);
         let effects = self.state.step(self.now, event);
@@ -87,7 +89,7 @@
         all
     }
 
-    fn ask(&mut self, question: OperatorQuestion) -> Option<OperatorAnswer> {
+    fn ask_leader(&mut self, question: OperatorQuestion) -> Option<OperatorAnswer> {
         self.tickets += 1;
         let ticket = self.tickets;
         let effects = self.step(HostEvent::OperatorAsked { ticket, question });
@@ -97,11 +99,12 @@
         })
     }
 
-    fn carry_out(&mut self, intent: Intent) -> Result<(), ClusterError> {
-        let Some(OperatorAnswer::Plan(Ok(plan))) = self.ask(OperatorQuestion::Plan(intent)) else {
-            return Err(invalid("no plan"));
+    fn execute_intent(&mut self, intent: Intent) -> Result<(), ClusterError> {
+        let Some(OperatorAnswer::Plan(Ok(plan))) = self.ask_leader(OperatorQuestion::Plan(intent))
+        else {
+            return Err(invalid("the leader made no plan"));
         };
-        self.ask(OperatorQuestion::Confirm {
+        self.ask_leader(OperatorQuestion::Confirm {
             request: Arc::from(format!("slope-{}", plan.id)),
             plan: plan.id,
             operator: Arc::from("slopes"),
@@ -141,33 +144,34 @@
         Ok(())
     }
 
-    /// Mean time of a step, in microseconds.
-    fn time_steps(&mut self, event: impl Fn(Moment) -> HostEvent) -> f64 {
-        let mut spent = Duration::ZERO;
+    /// Measures the mean time of a step, in microseconds. The confirmation of
+    /// journal writes is not included.
+    fn measure_step_time(&mut self, event: impl Fn(Moment) -> HostEvent) -> f64 {
+        let mut elapsed = Duration::ZERO;
         for _ in 0..REPETITIONS {
             self.now = self.now + Duration::from_millis(10);
             let event = event(self.now);
             let started_at = Instant::now();
             let effects = self.state.step(self.now, event);
-            spent += started_at.elapsed();
+            elapsed += started_at.elapsed();
             for effect in effects {
                 if let HostEffect::Persist { number, .. } = effect {
                     self.state.step(self.now, HostEvent::Persisted(number));
                 }
             }
         }
-        spent.as_secs_f64() * 1e6 / f64::from(REPETITIONS)
+        elapsed.as_secs_f64() * 1e6 / f64::from(REPETITIONS)
     }
 }
 
 fn group_name(number: u32) -> String {
-    format!("service-{}.{}", number / INSTANCES, number % INSTANCES + 1)
+    format!("service-{}.{}", number / MAX_INSTANCES, number % MAX_INSTANCES + 1)
 }
 
 fn declaration(groups: u32) -> Declaration {
-    let services = (0..=groups / INSTANCES).map(|service| {
+    let services = (0..=groups / MAX_INSTANCES).map(|service| {
         let declared = ServiceDeclaration {
-            instances: INSTANCES.min(groups - service * INSTANCES).max(1),
+            instances: MAX_INSTANCES.min(groups - service * MAX_INSTANCES).max(1),
             databases: 3,
             max_waiting: 1_000,
         };
@@ -182,14 +186,15 @@
     Ok(bytes.len() as f64)
 }
 
-/// A leader that does not serve callers itself, with hosts and groups.
-fn leader_with(groups: u32, hosts: u32, seed: u64) -> Result<LoneLeader, ClusterError> {
-    let mut leader = LoneLeader::start(seed)?;
-    leader.carry_out(Intent::DrainHost(HostId(1)))?;
+/// Starts a leader with this many other hosts and groups. Its own host is
+/// drained, so that it serves no callers.
+fn start_leader(groups: u32, hosts: u32, seed: u64) -> Result<SingleVoter, ClusterError> {
+    let mut leader = SingleVoter::start(seed)?;
+    leader.execute_intent(Intent::DrainHost(HostId(1)))?;
     for id in 2..2 + hosts {
         leader.join_host(id)?;
     }
-    leader.carry_out(Intent::Declare(declaration(groups)))?;
+    leader.execute_intent(Intent::Declare(declaration(groups)))?;
     for number in 0..groups {
         leader.announce_group(number)?;
     }
@@ -200,19 +205,19 @@
     }
 }
 
-pub(super) fn decision_slopes(seed: u64) -> Result<Vec<SlopeLine>, ClusterError> {
+pub(super) fn measure_decision_slopes(seed: u64) -> Result<Vec<SlopeLine>, ClusterError> {
     let mut bytes = Vec::new();
-    let mut ticks = Vec::new();
+    let mut tick_times = Vec::new();
     for groups in GROUP_COUNTS {
-        let mut leader = leader_with(groups, 6, seed)?;
+        let mut leader = start_leader(groups, 6, seed)?;
         let size = f64::from(groups);
         bytes.push(SlopePoint { size, value: state_bytes(leader.state.control())? });
-        ticks.push(SlopePoint { size, value: leader.time_steps(|_| HostEvent::Tick) });
+        tick_times.push(SlopePoint { size, value: leader.measure_step_time(|_| HostEvent::Tick) });
     }
     let mut host_bytes = Vec::new();
-    let mut leases = Vec::new();
+    let mut renewal_times = Vec::new();
     for hosts in HOST_COUNTS {
-        let mut leader = leader_with(3, hosts, seed)?;
+        let mut leader = start_leader(3, hosts, seed)?;
         let size = f64::from(hosts);
         host_bytes.push(SlopePoint { size, value: state_bytes(leader.state.control())? });
         let record = host_record(2)?;
@@ -221,12 +226,12 @@
             let request = LeaseRequest { record: record.clone(), sent_at, applied, leaving: false };
             HostEvent::Peer(HostId(2), PeerMessage::LeaseRequest(request))
         };
-        leases.push(SlopePoint { size, value: leader.time_steps(renewal) });
+        renewal_times.push(SlopePoint { size, value: leader.measure_step_time(renewal) });
     }
     Ok(vec![
         SlopeLine::fit("configuration, encoded", "group of 3", "bytes", bytes),
-        SlopeLine::fit("leader's tick", "group of 3", "us", ticks),
+        SlopeLine::fit("leader's tick", "group of 3", "us", tick_times),
         SlopeLine::fit("configuration, encoded", "host", "bytes", host_bytes),
-        SlopeLine::fit("lease renewal at the leader", "host", "us", leases),
+        SlopeLine::fit("lease renewal at the leader", "host", "us", renewal_times),
     ])
 }
--- a/crates/lab/src/slopes/slope_line.rs
+++ b/crates/lab/src/slopes/slope_line.rs
@@ -3,28 +3,28 @@
 /// One measurement at one size.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct SlopePoint {
-    /// Size, in the line's own unit.
+    /// Size, in the unit that `SlopeLine::per` names.
     pub size: f64,
-    /// Measured value.
+    /// Measured value, in the unit of the line.
     pub value: f64,
 }
 
-/// A straight line through measurements at several sizes.
+/// A straight line fitted to measurements at several sizes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SlopeLine {
     /// What was measured.
     pub name: String,
-    /// What the size counts.
+    /// Unit of the size.
     pub per: String,
     /// Unit of the value.
     pub unit: String,
     /// The measurements.
     pub points: Vec<SlopePoint>,
-    /// Growth of the value for one more of the size.
+    /// Increase of the value per unit of size.
     pub slope: f64,
-    /// Value at size zero.
+    /// Value of the line at size zero.
     pub intercept: f64,
-    /// Share of the variation that the line explains, 0 to 1.
+    /// Coefficient of determination (r²), 0 to 1.
     pub straightness: f64,
 }
 
@@ -34,14 +34,16 @@
         let count = points.len() as f64;
         let mean = |value: fn(&SlopePoint) -> f64| points.iter().map(value).sum::<f64>() / count;
         let (mean_size, mean_value) = (mean(|p| p.size), mean(|p| p.value));
-        let spread: f64 = points.iter().map(|p| (p.size - mean_size).powi(2)).sum();
-        let shared: f64 =
+        let sum_xx: f64 = points.iter().map(|p| (p.size - mean_size).powi(2)).sum();
+        let sum_xy: f64 =
             points.iter().map(|p| (p.size - mean_size) * (p.value - mean_value)).sum();
-        let slope = shared / spread;
+        let slope = sum_xy / sum_xx;
         let intercept = mean_value - slope * mean_size;
-        let total: f64 = points.iter().map(|p| (p.value - mean_value).powi(2)).sum();
-        let left: f64 = points.iter().map(|p| (p.value - intercept - slope * p.size).powi(2)).sum();
-        let straightness = if total > 0.0 { 1.0 - left / total } else { 1.0 };
+        let total_squares: f64 = points.iter().map(|p| (p.value - mean_value).powi(2)).sum();
+        let residual_squares: f64 =
+            points.iter().map(|p| (p.value - intercept - slope * p.size).powi(2)).sum();
+        let straightness =
+            if total_squares > 0.0 { 1.0 - residual_squares / total_squares } else { 1.0 };
         Self {
             name: name.to_owned(),
             per: per.to_owned(),
@@ -53,7 +55,7 @@
         }
     }
 
-    /// The line for people.
+    /// Formats the line and its measurements as two lines of text.
     pub fn to_text(&self) -> String {
         let points: Vec<String> =
             self.points.iter().map(|p| format!("{}: {:.4}", p.size, p.value)).collect();
