--- a/crates/lab/tests/bad_callers.rs
+++ b/crates/lab/tests/bad_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that break the protocol or vanish; no other caller notices.
+//! Protocol errors and lost connections of one caller do not affect other callers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -19,9 +19,9 @@
     LabCluster::start(plan).await.unwrap()
 }
 
-/// Sends bytes and returns all that comes back before the daemon closes, or
-/// what came before this end closes.
-async fn send(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
+/// Sends bytes, closes the sending side, and returns all that the daemon sends
+/// until the connection closes or fails.
+async fn send_bytes(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let _ = stream.write_all(bytes).await;
     let _ = stream.shutdown().await;
@@ -30,7 +30,8 @@
     answer
 }
 
-fn startup(parameters: &str) -> Vec<u8> {
+/// Encodes a startup message; `|` ends each name and value.
+fn startup_message(parameters: &str) -> Vec<u8> {
     let body = parameters.replace('|', "\0");
     let mut packet = (body.len() as u32 + 9).to_be_bytes().to_vec();
     packet.extend_from_slice(&196_608_u32.to_be_bytes());
@@ -40,63 +41,71 @@
 }
 
 fn contains(answer: &[u8], text: &str) -> bool {
-    answer.windows(text.len()).any(|at| at == text.as_bytes())
+    answer.windows(text.len()).any(|window| window == text.as_bytes())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn garbage_gets_an_error() {
+async fn malformed_messages_get_an_error() {
     let cluster = start().await;
     let address = cluster.caller_addresses()[0];
-    let other = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
+    let healthy_caller = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
 
-    assert!(contains(&send(address, b"GET / HTTP/1.1\r\n\r\n").await, "08P01"));
-    let mut huge = startup("user|a|database|shiftbook.1|");
-    huge.extend_from_slice(b"Q\x7f\xff\xff\xffSELECT");
-    let answer = send(address, &huge).await;
+    assert!(contains(&send_bytes(address, b"GET / HTTP/1.1\r\n\r\n").await, "08P01"));
+    let mut oversized = startup_message("user|a|database|shiftbook.1|");
+    oversized.extend_from_slice(b"Q\x7f\xff\xff\xffSELECT");
+    let answer = send_bytes(address, &oversized).await;
     assert!(contains(&answer, "larger than"), "an oversized message is refused unread");
-    let mut tiny = startup("user|a|database|shiftbook.1|");
-    tiny.extend_from_slice(b"Q\0\0\0\x01");
-    assert!(contains(&send(address, &tiny).await, "08P01"));
-    let bad = startup("user|a|database|shiftbook.1|hawthornstack.max_age|soon|");
-    assert!(contains(&send(address, &bad).await, "22023"));
-    let outside = startup("user|a|database|shiftbook.1|hawthornstack.forward_state|{}|");
-    assert!(contains(&send(address, &outside).await, "22023"), "only hosts hand over state");
-    assert!(other.simple_query("SELECT 1").await.is_ok());
+    let mut undersized = startup_message("user|a|database|shiftbook.1|");
+    undersized.extend_from_slice(b"Q\0\0\0\x01");
+    assert!(contains(&send_bytes(address, &undersized).await, "08P01"));
+    let invalid_age = startup_message("user|a|database|shiftbook.1|hawthornstack.max_age|soon|");
+    assert!(contains(&send_bytes(address, &invalid_age).await, "22023"));
+    let forged_state =
+        startup_message("user|a|database|shiftbook.1|hawthornstack.forward_state|{}|");
+    assert!(
+        contains(&send_bytes(address, &forged_state).await, "22023"),
+        "only hosts may send forwarded state"
+    );
+    assert!(healthy_caller.simple_query("SELECT 1").await.is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn seeded_noise() {
+async fn random_bytes_end_the_connection() {
     let cluster = start().await;
     let address = cluster.caller_addresses()[0];
-    let other = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
+    let healthy_caller = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
     let mut runner = TestRunner::deterministic();
-    let noise = prop::collection::vec(any::<u8>(), 0..200);
+    let random_bytes = prop::collection::vec(any::<u8>(), 0..200);
     for round in 0..300 {
         let mut bytes = match round % 2 {
             0 => Vec::new(),
-            _ => startup("user|a|database|shiftbook.1|"),
+            _ => startup_message("user|a|database|shiftbook.1|"),
         };
-        bytes.extend(noise.new_tree(&mut runner).unwrap().current());
-        tokio::time::timeout(Duration::from_secs(20), send(address, &bytes))
+        bytes.extend(random_bytes.new_tree(&mut runner).unwrap().current());
+        tokio::time::timeout(Duration::from_secs(20), send_bytes(address, &bytes))
             .await
             .expect("the daemon ends a broken connection");
     }
-    assert!(other.simple_query("SELECT 1").await.is_ok());
+    assert!(healthy_caller.simple_query("SELECT 1").await.is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn vanishes_in_transaction() {
+async fn lost_connection_rolls_back() {
     let cluster = start().await;
     let address = cluster.caller_addresses()[0];
-    let other = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
-    other.simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
+    let healthy_caller = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
+    healthy_caller.simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
     for _ in 0..20 {
         let caller = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
         caller.simple_query("BEGIN").await.unwrap();
         caller.simple_query("INSERT INTO t VALUES (1)").await.unwrap();
         drop(caller);
     }
-    other.simple_query("INSERT INTO t VALUES (2)").await.unwrap();
-    let found = other.simple_query("SELECT count(*) FROM t WHERE a = 1").await.unwrap();
-    assert_eq!(found.row[0].as_deref(), Some("0"), "nobody commits for a caller that is gone");
+    healthy_caller.simple_query("INSERT INTO t VALUES (2)").await.unwrap();
+    let count = healthy_caller.simple_query("SELECT count(*) FROM t WHERE a = 1").await.unwrap();
+    assert_eq!(
+        count.row[0].as_deref(),
+        Some("0"),
+        "the transaction of a lost connection is not committed"
+    );
 }
--- a/crates/lab/tests/forwarded_requests.rs
+++ b/crates/lab/tests/forwarded_requests.rs
@@ -1,4 +1,5 @@
-//! Daemons that are no homes of a group serve its callers all the same.
+//! Daemons that are not gateways of a group serve its callers too: they forward
+//! the requests to a gateway.
 
 use std::time::Duration;
 
@@ -18,7 +19,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_daemon_serves() {
+async fn every_daemon_reads_own_writes() {
     let cluster = start().await;
     let session = ["hawthornstack.session=roamer".to_owned()];
     let first = connect(&cluster, 0, &session).await;
@@ -34,7 +35,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn transactions_and_keys() {
+async fn transactions_and_request_keys() {
     let cluster = start().await;
     connect(&cluster, 0, &[]).await.simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
     for daemon in 0..6 {
@@ -51,22 +52,22 @@
         assert!(bad.text.starts_with("42"), "{}", bad.text);
     }
     let caller = connect(&cluster, 5, &[]).await;
-    let sum = "SELECT count(*) FROM t WHERE a = ";
+    let count = "SELECT count(*) FROM t WHERE a = ";
     for (value, expected) in [(1, "0"), (2, "6"), (3, "1")] {
-        let found = caller.simple_query(&format!("{sum}{value}")).await.unwrap();
+        let found = caller.simple_query(&format!("{count}{value}")).await.unwrap();
         assert_eq!(found.row[0].as_deref(), Some(expected), "rows of {value}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn over_change_of_primary() {
+async fn requests_during_primary_change() {
     let cluster = start().await;
     let callers = [connect(&cluster, 0, &[]).await, connect(&cluster, 5, &[]).await];
     callers[0].simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
     cluster.groups[0].primary().unwrap().faults.set(Fault::Frozen);
     for caller in &callers {
-        let key = "/* hawthornstack: request_key=after */ INSERT INTO t VALUES (1)";
-        assert_eq!(caller.simple_query(key).await.unwrap().changed, 1);
+        let keyed = "/* hawthornstack: request_key=after */ INSERT INTO t VALUES (1)";
+        assert_eq!(caller.simple_query(keyed).await.unwrap().changed, 1);
         let found = caller.simple_query("SELECT count(*) FROM t").await.unwrap();
         assert_eq!(found.row[0].as_deref(), Some("1"));
     }
--- a/crates/lab/tests/graceful_change.rs
+++ b/crates/lab/tests/graceful_change.rs
@@ -1,4 +1,5 @@
-//! Drains and restarts under load leave no request open and fail none.
+//! Drains and restarts under load leave no request with an unknown outcome and
+//! lose no write.
 
 use std::{
     net::SocketAddr,
@@ -13,14 +14,14 @@
 use hawthornstack_lab::cluster::{ClusterPlan, LabCaller, LabCluster};
 use tokio_util::sync::CancellationToken;
 
-/// Rounds of 10 ms that a change is waited for.
-const PATIENCE_ROUNDS: u32 = 3_000;
+/// Polls for a change, 10 ms apart, before a test fails.
+const MAX_POLLS: u32 = 3_000;
 
 #[derive(Default)]
 struct Counts {
     written: AtomicU64,
     refused: AtomicU64,
-    open: AtomicU64,
+    unknown: AtomicU64,
 }
 
 async fn start() -> LabCluster {
@@ -32,18 +33,18 @@
     cluster
 }
 
-/// Writes until cancelled; a caller that is told to leave, or that its request
-/// did not run, goes on at the next daemon.
-async fn write(
+/// Writes until cancelled. After a failed connection attempt or request, the
+/// caller connects to the next daemon.
+async fn write_until_cancelled(
     daemons: Vec<SocketAddr>,
     start: usize,
     counts: Arc<Counts>,
     cancel: CancellationToken,
 ) {
-    let mut turn = start;
+    let mut attempt = start;
     while !cancel.is_cancelled() {
-        turn += 1;
-        let daemon = daemons[turn % daemons.len()];
+        attempt += 1;
+        let daemon = daemons[attempt % daemons.len()];
         let Ok(caller) = LabCaller::connect(daemon, "shiftbook.1", &[]).await else {
             tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
@@ -56,8 +57,8 @@
                     break;
                 }
                 Err(failure) => {
-                    println!("left open: {}", failure.text);
-                    counts.open.fetch_add(1, Ordering::Relaxed);
+                    println!("unknown outcome: {}", failure.text);
+                    counts.unknown.fetch_add(1, Ordering::Relaxed);
                     break;
                 }
             };
@@ -78,7 +79,12 @@
         let daemons = cluster.caller_addresses();
         let tasks = (0..6)
             .map(|start| {
-                tokio::spawn(write(daemons.clone(), start, counts.clone(), cancel.clone()))
+                tokio::spawn(write_until_cancelled(
+                    daemons.clone(),
+                    start,
+                    counts.clone(),
+                    cancel.clone(),
+                ))
             })
             .collect();
         Self { counts, cancel, tasks }
@@ -93,7 +99,7 @@
     }
 }
 
-async fn rows(cluster: &LabCluster) -> u64 {
+async fn count_rows(cluster: &LabCluster) -> u64 {
     let address = cluster.caller_addresses()[0];
     let caller = LabCaller::connect(address, "shiftbook.1", &[]).await.unwrap();
     let found = caller.simple_query("SELECT count(*) FROM t").await.unwrap();
@@ -112,37 +118,37 @@
     let counts = writers.stop().await;
     let written = counts.written.load(Ordering::Relaxed);
     assert!(written > 0);
-    assert_eq!(counts.open.load(Ordering::Relaxed), 0, "requests were left open");
-    assert_eq!(rows(&cluster).await, written);
+    assert_eq!(counts.unknown.load(Ordering::Relaxed), 0, "requests had an unknown outcome");
+    assert_eq!(count_rows(&cluster).await, written);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn drained_primary() {
+async fn drain_of_primary() {
     let cluster = start().await;
     let writers = Writers::start(&cluster);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let old = cluster.groups[0].primary().unwrap();
     let drain = Intent::DrainDatabase(old.settings.database.clone());
     assert_eq!(cluster.operator().execute_intent(drain).await.unwrap().code, 0);
-    let moved = || cluster.groups[0].primary().is_some_and(|new| new.address != old.address);
-    for _ in 0..PATIENCE_ROUNDS {
-        if moved() {
+    let replaced = || cluster.groups[0].primary().is_some_and(|new| new.address != old.address);
+    for _ in 0..MAX_POLLS {
+        if replaced() {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert!(moved(), "the drained primary hands over");
+    assert!(replaced(), "a drained primary is replaced");
     tokio::time::sleep(Duration::from_millis(300)).await;
     let counts = writers.stop().await;
     let written = counts.written.load(Ordering::Relaxed);
     assert!(written > 0);
-    assert_eq!(counts.open.load(Ordering::Relaxed), 0, "requests were left open");
+    assert_eq!(counts.unknown.load(Ordering::Relaxed), 0, "requests had an unknown outcome");
     assert_eq!(counts.refused.load(Ordering::Relaxed), 0, "requests were refused");
-    assert_eq!(rows(&cluster).await, written);
+    assert_eq!(count_rows(&cluster).await, written);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn drained_host() {
+async fn drain_of_host() {
     let cluster = start().await;
     let writers = Writers::start(&cluster);
     tokio::time::sleep(Duration::from_millis(200)).await;
@@ -150,7 +156,7 @@
     assert_eq!(cluster.operator().execute_intent(drain).await.unwrap().code, 0);
     tokio::time::sleep(Duration::from_millis(400)).await;
     let counts = writers.stop().await;
-    assert_eq!(counts.open.load(Ordering::Relaxed), 0, "requests were left open");
+    assert_eq!(counts.unknown.load(Ordering::Relaxed), 0, "requests had an unknown outcome");
     let address = cluster.caller_addresses()[1];
     let served = || async {
         match LabCaller::connect(address, "shiftbook.1", &[]).await {
@@ -158,12 +164,12 @@
             Err(_) => false,
         }
     };
-    for _ in 0..PATIENCE_ROUNDS {
+    for _ in 0..MAX_POLLS {
         if !served().await {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert!(!served().await, "a drained host takes no callers");
-    assert_eq!(rows(&cluster).await, counts.written.load(Ordering::Relaxed));
+    assert!(!served().await, "a drained host accepts no callers");
+    assert_eq!(count_rows(&cluster).await, counts.written.load(Ordering::Relaxed));
 }
--- a/crates/lab/tests/help_texts.rs
+++ b/crates/lab/tests/help_texts.rs
@@ -1,5 +1,5 @@
-//! Guards against a command, an option or a help text of `hawthornstack-lab` that
-//! changes or goes unnoticed.
+//! Guards against unnoticed changes of the commands, options and help texts of
+//! `hawthornstack-lab`.
 
 #[path = "../../cli/tests/help_pages/mod.rs"]
 mod help_pages;
--- a/crates/lab/tests/outer_texts.rs
+++ b/crates/lab/tests/outer_texts.rs
@@ -1,5 +1,5 @@
-//! Guards against changed JSON and text of the lab's reports, which scripts and
-//! earlier journal entries rely on.
+//! Guards against changes of the JSON and text of the lab's reports: scripts read
+//! them, and they are compared with earlier journal entries.
 
 use std::fmt::Debug;
 
@@ -55,8 +55,8 @@
     {"kind": "paused", "round": 0, "term_before": 5, "term_after": 5, "gap_ms": 201.5,
         "detected_ms": null, "promoted_ms": null}]"#;
 
-/// Held against the final state below, some of them show a broken promise, so
-/// that no count of the checker is 0.
+/// Checked against `FINAL_STATE`, these operations include violations of every
+/// guarantee, so that no count of the report is 0.
 const OPERATIONS: &str = r#"[
     {"session": 1, "group": 0, "kind": {"Append": {"number": 1}},
         "sent_at": {"secs": 1, "nanos": 500000000}, "answered_at": {"secs": 2, "nanos": 0},
@@ -87,8 +87,8 @@
     serde_json::from_str(json).expect(json)
 }
 
-/// The JSON that is written for what was read, after a check that it is read
-/// alike.
+/// Decodes a value, encodes it again and checks that the result decodes to the
+/// same value. Returns the new JSON.
 fn written_again<T>(json: &str) -> String
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
--- a/crates/lab/tests/whole_path.rs
+++ b/crates/lab/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! Ordinary PostgreSQL clients through real daemons to lagging databases.
+//! End-to-end tests: PostgreSQL clients, real daemons, and stand-in databases with
+//! replication lag.
 
 use std::time::Duration;
 
@@ -60,13 +61,13 @@
     assert_eq!(rows.len(), 1);
     assert_eq!(rows[0].get::<_, i64>(0), 101);
 
-    let doubled = client.execute(&insert, &[&101_i64, &"z"]).await.unwrap_err();
-    assert_eq!(doubled.code().unwrap().code(), "23505");
+    let duplicate = client.execute(&insert, &[&101_i64, &"z"]).await.unwrap_err();
+    assert_eq!(duplicate.code().unwrap().code(), "23505");
     assert_eq!(client.query(&select, &[&3_i64]).await.unwrap().len(), 3);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn refusals_are_clear() {
+async fn refusals_name_the_error() {
     let cluster = LabCluster::start(plan(Duration::from_millis(5))).await.unwrap();
     let address = cluster.caller_addresses()[0];
     let caller = connect(&cluster, 0, &[]).await;
@@ -74,23 +75,23 @@
     assert!(bad.text.contains("22023") && bad.text.contains("unit"), "{}", bad.text);
     let shown = caller.simple_query("SHOW hawthornstack.max_age").await.unwrap();
     assert_eq!(shown.row[0].as_deref(), Some("off"));
-    let kept = caller.simple_query("SET work_mem = '1GB'").await.unwrap_err();
-    assert!(kept.text.contains("0A000"), "{}", kept.text);
+    let unsupported = caller.simple_query("SET work_mem = '1GB'").await.unwrap_err();
+    assert!(unsupported.text.contains("0A000"), "{}", unsupported.text);
 
     let forged = ["hawthornstack.token=hs1~a~shiftbook.1~1~1~00000000000000000000000000000000"];
     let forged = forged.map(str::to_owned);
     let refused = LabCaller::connect(address, "shiftbook.1", &forged).await.err().unwrap();
     assert!(refused.text.contains("28000"), "{}", refused.text);
 
-    let nowhere = LabCaller::connect(address, "no-such.1", &[]).await.unwrap();
-    let refused = nowhere.simple_query("SELECT 1").await.unwrap_err();
+    let unknown_group = LabCaller::connect(address, "no-such.1", &[]).await.unwrap();
+    let refused = unknown_group.simple_query("SELECT 1").await.unwrap_err();
     assert!(refused.text.contains("3D000"), "{}", refused.text);
     assert_eq!(refused.outcome, Outcome::DidNotRun);
     assert!(caller.simple_query("SELECT 1").await.is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn announced_elsewhere() {
+async fn announcement_cannot_move_a_database() {
     let cluster = LabCluster::start(plan(Duration::from_millis(5))).await.unwrap();
     let caller = connect(&cluster, 0, &[]).await;
     caller.simple_query("CREATE TABLE t (a BIGINT)").await.unwrap();
@@ -99,7 +100,7 @@
     forged.address = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     for daemon in cluster.operator_addresses() {
         let sent = OperatorClient::announce(daemon, forged.clone()).await;
-        assert!(sent, "an announcement is taken, and then refused by its content");
+        assert!(sent, "the request succeeds, although the announcement is then ignored");
     }
     caller.simple_query("INSERT INTO t VALUES (1)").await.unwrap();
     for daemon in cluster.operator_addresses() {
