--- a/crates/lab/src/cluster/lab_caller.rs
+++ b/crates/lab/src/cluster/lab_caller.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// A caller with one PostgreSQL connection, closed when it is dropped.
+/// A caller that uses an ordinary PostgreSQL client; its connection closes when
+/// it is dropped.
 pub struct LabCaller {
     /// Client of the connection, for the extended protocol.
     pub client: Client,
--- a/crates/lab/src/load/load_run.rs
+++ b/crates/lab/src/load/load_run.rs
@@ -43,7 +43,7 @@
     pub length: Duration,
     /// Number of daemons.
     pub daemons: u32,
-    /// Seed of the arrival latencies and the stand-in databases.
+    /// Seed of the arrival times and the stand-in databases.
     pub seed: u64,
 }
 
@@ -75,7 +75,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Sends requests at their due latencies, whether or not earlier ones were
+/// Sends requests at their due times, whether or not earlier ones were
 /// answered (open loop).
 ///
 /// # Errors
--- a/crates/lab/tests/request_keys.rs
+++ b/crates/lab/tests/request_keys.rs
@@ -17,8 +17,8 @@
     LabCaller::connect(cluster.caller_addresses()[daemon], "shiftbook.1", &[]).await.unwrap()
 }
 
-const KEYED_UPDATE: &str = "/* hawthornstack: request_key=claim-1 */ UPDATE counter SET \
-                            value = value + 1 RETURNING value";
+const CLAIM: &str = "/* hawthornstack: request_key=claim-1 */ UPDATE counter SET value = value + 1 \
+                     RETURNING value";
 
 #[tokio::test(flavor = "multi_thread")]
 async fn repeats_get_the_first_result() {
@@ -27,7 +27,7 @@
     first.simple_query("CREATE TABLE counter (value BIGINT)").await.unwrap();
     first.simple_query("INSERT INTO counter VALUES (0)").await.unwrap();
     let other = connect(&cluster, 1).await;
-    let (a, b) = tokio::join!(first.simple_query(KEYED_UPDATE), other.simple_query(KEYED_UPDATE));
+    let (a, b) = tokio::join!(first.simple_query(CLAIM), other.simple_query(CLAIM));
     assert_eq!(a.unwrap().row[0].as_deref(), Some("1"));
     assert_eq!(b.unwrap().row[0].as_deref(), Some("1"));
 
@@ -39,7 +39,7 @@
 
     cluster.groups[0].primary().unwrap().faults.set(Fault::Stopped);
     let third = connect(&cluster, 2).await;
-    assert_eq!(third.simple_query(KEYED_UPDATE).await.unwrap().row[0].as_deref(), Some("1"));
+    assert_eq!(third.simple_query(CLAIM).await.unwrap().row[0].as_deref(), Some("1"));
     let value = third.simple_query("SELECT value FROM counter").await.unwrap();
     assert_eq!(value.row[0].as_deref(), Some("1"));
 }
