--- a/crates/lab/src/cluster/operator_client.rs
+++ b/crates/lab/src/cluster/operator_client.rs
@@ -30,7 +30,8 @@
     /// Plans a change of the configuration and confirms the plan.
     ///
     /// # Errors
-    /// `ClusterError::Timeout` if no daemon answers, for example without a leader.
+    /// `ClusterError::Timeout` if no daemon answers with success, for example
+    /// without a leader or for a plan that was refused.
     pub async fn execute_intent(&self, intent: Intent) -> Result<ConfirmResponse, ClusterError> {
         let plan: PlanResponse = self.post(PLAN_PATH, &PlanRequest { intent }).await?;
         let request = ConfirmRequest {
