--- a/crates/lab/src/faults/fault_run.rs
+++ b/crates/lab/src/faults/fault_run.rs
@@ -96,7 +96,8 @@
     mut on_record: impl FnMut(&FaultRecord),
 ) -> Result<Vec<FaultRecord>, ClusterError> {
     let deployment = Deployment { instances: 1, ..plan.deployment.clone() };
-    let cluster_plan = ClusterPlan { deployment, daemons: 3, voters: 3, homes: 3, seed: plan.seed };
+    let cluster_plan =
+        ClusterPlan { deployment, daemons: 3, voters: 3, gateways_per_group: 3, seed: plan.seed };
     let cluster = LabCluster::start(cluster_plan).await?;
     let writes = SharedWrites::default();
     let cancel = CancellationToken::new();
@@ -124,7 +125,8 @@
     let setup_caller = LabCaller::connect(daemons[0], &group, &[]).await;
     let setup_caller =
         setup_caller.map_err(|failure| ClusterError::Request { text: failure.text })?;
-    let created = setup_caller.simple("CREATE TABLE marks (writer BIGINT, number BIGINT)").await;
+    let created =
+        setup_caller.simple_query("CREATE TABLE marks (writer BIGINT, number BIGINT)").await;
     created.map_err(|failure| ClusterError::Request { text: failure.text })?;
     for writer in 0..WRITERS {
         let daemon = daemons[writer % daemons.len()];
@@ -150,7 +152,7 @@
 ) {
     while !cancel.is_cancelled() {
         let sent_at = Instant::now();
-        let written = caller.simple(&format!("INSERT INTO marks VALUES ({writer}, 1)")).await;
+        let written = caller.simple_query(&format!("INSERT INTO marks VALUES ({writer}, 1)")).await;
         match written {
             Ok(_) => {
                 let write = AcknowledgedWrite { sent_at, answered_at: Instant::now() };
@@ -171,7 +173,7 @@
 ) -> Result<FaultRecord, ClusterError> {
     sleep(SETTLE_TIME).await;
     let group = &cluster.groups[0];
-    let no_primary = || ClusterError::Late { what: "the election of a primary".to_owned() };
+    let no_primary = || ClusterError::Timeout { what: "the election of a primary".to_owned() };
     let primary = group.primary().ok_or_else(no_primary)?;
     let term_before = primary.core().status().term;
     writes.lock().unwrap_or_else(PoisonError::into_inner).clear();
@@ -216,7 +218,7 @@
         }
         sleep(Duration::from_millis(2)).await;
     }
-    Err(ClusterError::Late { what: "a write after the fault".to_owned() })
+    Err(ClusterError::Timeout { what: "a write after the fault".to_owned() })
 }
 
 fn find_first_order(group: &StandInGroup, function: &str, after: Instant) -> Option<Instant> {
