--- a/crates/daemon/src/pg_callers/caller_listener.rs
+++ b/crates/daemon/src/pg_callers/caller_listener.rs
@@ -19,7 +19,7 @@
 /// Time for which idle callers stay connected once shutdown or draining begins.
 const IDLE_GRACE: Duration = Duration::from_secs(3);
 
-/// Groups in which this daemon knows the table of keyed requests to exist.
+/// Groups whose table of keyed requests is known to exist.
 #[derive(Debug, Clone, Default)]
 pub struct KeyedGroups(Arc<Mutex<HashSet<GroupName>>>);
 
@@ -48,7 +48,7 @@
     pub cancels: CancelRegistry,
     /// Idle connections to gateway hosts.
     pub forwards: ForwardStore,
-    /// Groups that need no check for the table of keyed requests.
+    /// Groups in which the table of keyed requests need not be created.
     pub keyed_groups: KeyedGroups,
     /// Key that signs session tokens.
     pub token_key: TokenKey,
--- a/crates/daemon/src/pg_callers/extended_batch.rs
+++ b/crates/daemon/src/pg_callers/extended_batch.rs
@@ -34,9 +34,9 @@
     /// Discards the database's answer except errors and notices, because the
     /// proxy added the message.
     Discard,
-    /// Answers `ParseComplete` for a message that was not sent.
+    /// Answers `ParseComplete` for a message that the database did not get.
     ParseComplete,
-    /// Answers `CloseComplete` for a message that was not sent.
+    /// Answers `CloseComplete` for a message that the database did not get.
     CloseComplete,
 }
 
--- a/crates/daemon/src/pg_callers/keyed_request.rs
+++ b/crates/daemon/src/pg_callers/keyed_request.rs
@@ -38,7 +38,7 @@
     work: RequestWork<'a>,
 }
 
-/// How one attempt on a database replies.
+/// How one attempt at a database ended.
 enum KeyedAttempt {
     /// Committed by this or an earlier attempt: the answer, and the position
     /// after the commit.
@@ -134,7 +134,7 @@
         let mut held_answer = AnswerWriter::default();
         loop {
             match handle.next().await {
-                RequestSignal::Conclude(request_result) => {
+                RequestSignal::Complete(request_result) => {
                     return RunOutcome::from_result(&request_result, held_answer, state);
                 }
                 RequestSignal::Forward(gateways) => {
--- a/crates/daemon/src/pg_callers/request_runner.rs
+++ b/crates/daemon/src/pg_callers/request_runner.rs
@@ -184,7 +184,8 @@
         KeyedRequest::new(&key, work).run(self, state).await
     }
 
-    /// Creates the table of keyed requests unless it exists; safe to repeat.
+    /// Creates the table of keyed requests unless it exists; safe to repeat. Returns
+    /// the last outcome if it was not created in time.
     async fn create_request_table(&self, state: &mut CallerState) -> Option<RunOutcome> {
         let timeout = state.timeout;
         let deadline = self.context.clock.now() + timeout;
@@ -217,7 +218,7 @@
         let mut held_answer = AnswerWriter::default();
         loop {
             match handle.next().await {
-                RequestSignal::Conclude(request_result) => {
+                RequestSignal::Complete(request_result) => {
                     return RunOutcome::from_result(&request_result, held_answer, state);
                 }
                 RequestSignal::Forward(gateways) => {
@@ -267,7 +268,7 @@
         let mut handle = RequestHandle::submit(&self.context.host, arrival);
         loop {
             match handle.next().await {
-                RequestSignal::Conclude(request_result) => return Err(request_result.result),
+                RequestSignal::Complete(request_result) => return Err(request_result.result),
                 RequestSignal::Forward(gateways) => {
                     return self.open_gateway_transaction(state, begin, read_only, gateways).await;
                 }
@@ -368,7 +369,7 @@
     ) -> Result<(), ResultCode> {
         let mut handle = handle;
         loop {
-            if let RequestSignal::Conclude(request_result) = handle.next().await {
+            if let RequestSignal::Complete(request_result) = handle.next().await {
                 state.session_position =
                     state.session_position.max(request_result.session_position.unwrap_or_default());
                 return match request_result.result {
--- a/crates/daemon/src/pg_host/host_message.rs
+++ b/crates/daemon/src/pg_host/host_message.rs
@@ -22,10 +22,10 @@
         is_primary: bool,
     },
     /// Forward the request to one of these gateways of its group, the nearest first.
-    /// This host service sends no more signals for it.
+    /// No further signal follows.
     Forward(Vec<GatewayAddress>),
     /// The request has ended with this result.
-    Conclude(RequestResult),
+    Complete(RequestResult),
 }
 
 /// Messages to the host service.
--- a/crates/daemon/src/pg_host/host_service.rs
+++ b/crates/daemon/src/pg_host/host_service.rs
@@ -131,7 +131,7 @@
         let effects = self.host_state.step(self.clock.now(), event);
         self.find_services();
         for effect in effects {
-            self.execute(effect);
+            self.execute_effect(effect);
         }
     }
 
@@ -146,7 +146,7 @@
         self.upstreams = ServiceName::Upstreams.find(self.host_id, self.run_id);
         if self.upstreams.is_some() {
             for effect in std::mem::take(&mut self.deferred_effects) {
-                self.execute(effect);
+                self.execute_effect(effect);
             }
         }
     }
@@ -180,7 +180,7 @@
                 false
             }
             RequestSignal::Forward(_) => true,
-            RequestSignal::Conclude(request_result) => {
+            RequestSignal::Complete(request_result) => {
                 let elapsed = self.clock.now().since(waiting.arrived_at);
                 self.metrics.count_request(request_result.result, elapsed.as_secs_f64());
                 true
@@ -199,7 +199,7 @@
         joined.or_else(|| self.voters.get(&host).copied())
     }
 
-    fn execute(&mut self, effect: HostEffect) {
+    fn execute_effect(&mut self, effect: HostEffect) {
         match effect {
             HostEffect::Send(to, message) => {
                 let address = self.find_address(to);
@@ -225,7 +225,7 @@
                 self.send_signal(request, RequestSignal::Forward(gateways));
             }
             HostEffect::Complete(request, result) => {
-                self.send_signal(request, RequestSignal::Conclude(result));
+                self.send_signal(request, RequestSignal::Complete(result));
             }
             HostEffect::Answer { ticket, answer } => self.send_answer(ticket, answer),
             HostEffect::SetDraining(draining) => {
--- a/crates/daemon/src/pg_host/request_handle.rs
+++ b/crates/daemon/src/pg_host/request_handle.rs
@@ -49,14 +49,14 @@
     /// Waits for the next signal. If the host service has stopped, the request ends
     /// with `ResultCode::ShuttingDown`.
     pub async fn next(&mut self) -> RequestSignal {
-        let signal = self.signals.recv().await.unwrap_or(RequestSignal::Conclude(RequestResult {
+        let signal = self.signals.recv().await.unwrap_or(RequestSignal::Complete(RequestResult {
             result: ResultCode::ShuttingDown,
             session_position: None,
             retry_after: None,
         }));
         match signal {
             RequestSignal::Dispatch { .. } => self.running = true,
-            RequestSignal::Forward(_) | RequestSignal::Conclude(_) => self.finished = true,
+            RequestSignal::Forward(_) | RequestSignal::Complete(_) => self.finished = true,
         }
         signal
     }
--- a/crates/daemon/src/pg_host/status_response.rs
+++ b/crates/daemon/src/pg_host/status_response.rs
@@ -22,7 +22,7 @@
         groups: control
             .groups
             .values()
-            .map(|record| group_status(record, state.groups().get(&record.name)))
+            .map(|record| build_group_status(record, state.groups().get(&record.name)))
             .collect(),
         hosts: control
             .hosts
@@ -37,7 +37,7 @@
     }
 }
 
-fn group_status(record: &GroupRecord, view: Option<&GroupView>) -> GroupStatus {
+fn build_group_status(record: &GroupRecord, view: Option<&GroupView>) -> GroupStatus {
     let phase = match &record.phase {
         GroupPhase::Steady => "steady",
         GroupPhase::Fencing { .. } => "fencing",
@@ -53,14 +53,17 @@
             .members
             .values()
             .map(|member| {
-                member_status(member, view.and_then(|view| view.databases.get(&member.database)))
+                build_member_status(
+                    member,
+                    view.and_then(|view| view.databases.get(&member.database)),
+                )
             })
             .collect(),
         waiting: view.map_or(0, GroupView::waiting_count),
     }
 }
 
-fn member_status(member: &MemberRecord, view: Option<&DatabaseView>) -> MemberStatus {
+fn build_member_status(member: &MemberRecord, view: Option<&DatabaseView>) -> MemberStatus {
     let standing = match member.standing {
         MemberStanding::Counting => "counting",
         MemberStanding::Joining => "joining",
