--- a/crates/daemon/src/pg_upstreams/upstreams_service.rs
+++ b/crates/daemon/src/pg_upstreams/upstreams_service.rs
@@ -118,7 +118,7 @@
                 Ok(status) => {
                     log::debug!(
                         target: "upstreams",
-                        "Database {database} answered {order:?}; passing its status to the host."
+                        "Database {database} answered order {order:?}; passing its status on."
                     );
                     let event = HostEvent::OrderAnswered { database, status };
                     let _ = host.send_message(HostMessage::Event(event));
@@ -126,7 +126,7 @@
                 Err(error) => {
                     log::debug!(
                         target: "upstreams",
-                        "{order:?} of database {database} failed; no status to pass on: {error}."
+                        "Order {order:?} to database {database} failed; no status to pass: {error}."
                     );
                 }
             }
