--- a/crates/daemon/src/control_role/control_service.rs
+++ b/crates/daemon/src/control_role/control_service.rs
@@ -46,7 +46,7 @@
     /// Port on which every control host accepts links from other hosts.
     pub link_port: u16,
     /// Settings of the [`ControlHost`].
-    pub decisions: ControlSettings,
+    pub settings: ControlSettings,
 }
 
 enum ServiceEvent {
@@ -125,14 +125,14 @@
     let (persisted, journal_events) = mpsc::unbounded_channel();
     let (journal, records) = JournalThread::open(&options.data_folder, persisted)?;
     tracing::info!(target: "journal", records = records.len(), "journal opened");
-    let address = host_address(options.decisions.host, options.link_port);
+    let address = host_address(options.settings.host, options.link_port);
     let listener =
         bind_listener(address).map_err(|source| KernelError::Listen { address, source })?;
     let (links, link_events) = mpsc::unbounded_channel();
     tokio::task::spawn_local(accept_links(listener, links));
     let (events, service_events) = mpsc::unbounded_channel();
     let clock = BootClock;
-    let host = ControlHost::new(options.decisions.clone(), records, clock.now());
+    let host = ControlHost::new(options.settings.clone(), records, clock.now());
     let connected = Rc::new(Cell::new(false));
     let service = ControlService {
         metrics,
@@ -228,8 +228,8 @@
     }
 
     fn status(&self) -> Option<StatusResponse> {
-        let (me, port) = (self.options.decisions.host, self.options.link_port);
-        match build_status_page(&self.host, me, port, self.connected.get(), self.clock.now()) {
+        let (own_id, port) = (self.options.settings.host, self.options.link_port);
+        match build_status_page(&self.host, own_id, port, self.connected.get(), self.clock.now()) {
             Ok(page) => Some(page),
             Err(error) => {
                 tracing::warn!(
@@ -266,7 +266,7 @@
 
     fn step(&mut self, event: ControlEvent) {
         let effects = self.host.step(self.clock.now(), event);
-        effects.into_iter().for_each(|effect| self.apply_effect(effect));
+        effects.into_iter().for_each(|effect| self.execute_effect(effect));
         let agreement = self.host.agreement();
         let connected = match agreement.is_leader() {
             true => self.host.is_current_leader(self.clock.now()),
@@ -295,11 +295,11 @@
         }
     }
 
-    fn apply_effect(&mut self, effect: ControlEffect) {
+    fn execute_effect(&mut self, effect: ControlEffect) {
         match effect {
             ControlEffect::Dial(peer) => {
-                let (me, port) = (self.options.decisions.host, self.options.link_port);
-                self.peers.entry(peer).or_insert_with(|| PeerLink::start(me, peer, port));
+                let (own_id, port) = (self.options.settings.host, self.options.link_port);
+                self.peers.entry(peer).or_insert_with(|| PeerLink::start(own_id, peer, port));
             }
             ControlEffect::SendPeer(to, message) => {
                 let full = self.peers.get(&to).is_some_and(|peer| !peer.send(message));
@@ -320,15 +320,15 @@
                     PromotionOrder { service: service.clone(), instance: key.id.clone(), fence };
                 tracing::info!(
                     target: "control", %service, instance = %key, fence,
-                    "calling for promotion"
+                    "requesting the promotion of a database"
                 );
-                let call = self.promotions.promote(order);
+                let request = self.promotions.promote(order);
                 let events = self.events.clone();
                 tokio::task::spawn_local(async move {
-                    let result = call.await;
+                    let result = request.await;
                     tracing::info!(
                         target: "control", %service, instance = %key, ?result,
-                        "promotion call ended"
+                        "promotion request ended"
                     );
                     let event = ControlEvent::PromoteAnswered { service, key, result };
                     let _ = events.send(ServiceEvent::Control(event));
--- a/crates/daemon/src/control_role/mod.rs
+++ b/crates/daemon/src/control_role/mod.rs
@@ -1,5 +1,5 @@
-//! Runs a control host: passes events to [`ControlHost`] and applies the effects
-//! that it returns.
+//! Runs a control host: passes events to [`ControlHost`] and executes the
+//! effects that it returns.
 //!
 //! [`ControlHost`]: hawthornstack_decisions::control_role::ControlHost
 
--- a/crates/daemon/src/control_role/peer_links.rs
+++ b/crates/daemon/src/control_role/peer_links.rs
@@ -46,14 +46,15 @@
 impl PeerLink {
     /// Spawns the task that keeps the link open; it ends when the `PeerLink` is
     /// dropped.
-    pub(super) fn start(me: HostId, peer: HostId, port: u16) -> Self {
+    pub(super) fn start(own_id: HostId, peer: HostId, port: u16) -> Self {
         let (queue, mut messages) = mpsc::channel(PEER_QUEUE_LENGTH);
         let reachable = Rc::new(Notify::new());
         let peer_reachable = reachable.clone();
         tokio::task::spawn_local(async move {
             let mut dialler = LinkDialler::new(host_address(peer, port));
             while !messages.is_closed() {
-                let result = send_messages(me, &mut dialler, &mut messages, &peer_reachable).await;
+                let result =
+                    send_messages(own_id, &mut dialler, &mut messages, &peer_reachable).await;
                 if let Err(error) = result {
                     tracing::debug!(
                         target: "control", %peer, %error,
@@ -83,7 +84,7 @@
 }
 
 async fn send_messages(
-    me: HostId,
+    own_id: HostId,
     dialler: &mut LinkDialler,
     messages: &mut mpsc::Receiver<ControlMessage>,
     reachable: &Notify,
@@ -96,7 +97,7 @@
         Some(opened) => opened?,
         None => dialler.open_link().await?,
     };
-    writer.send(&LinkFrame::Hello { role: LinkRole::Control, host: me }).await?;
+    writer.send(&LinkFrame::Hello { role: LinkRole::Control, host: own_id }).await?;
     loop {
         tokio::select! {
             biased;
--- a/crates/daemon/src/control_role/status_page.rs
+++ b/crates/daemon/src/control_role/status_page.rs
@@ -18,7 +18,7 @@
 /// a status page.
 pub(super) fn build_status_page(
     control_host: &ControlHost,
-    me: HostId,
+    own_id: HostId,
     link_port: u16,
     is_connected: bool,
     now: Moment,
@@ -33,7 +33,7 @@
     });
     let groups = control.terms.values().map(|term| build_group_status(control_host, term));
     Ok(StatusResponse {
-        host: me,
+        host: own_id,
         leader: agreement.leader(),
         is_current_leader: control_host.is_current_leader(now),
         has_lease: is_connected,
--- a/crates/daemon/src/edges/upstream_protocol.rs
+++ b/crates/daemon/src/edges/upstream_protocol.rs
@@ -29,7 +29,7 @@
         /// Service to which the database must belong.
         service: &'a str,
         /// Name of the host that connects.
-        caller: &'a str,
+        client: &'a str,
         /// Id that the database must have.
         instance: &'a str,
     },
--- a/crates/daemon/src/entry_role/control_links.rs
+++ b/crates/daemon/src/entry_role/control_links.rs
@@ -25,9 +25,9 @@
 const LEADER_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Time without an update after which any other link is reopened.
 const LINK_SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause before a control host is dialled again. It is short because after a loss
+/// Delay before a control host is dialled again. It is short because after a loss
 /// of all control hosts callers wait for the first one to return.
-const REDIAL_PAUSE: Duration = Duration::from_millis(50);
+const REDIAL_DELAY: Duration = Duration::from_millis(50);
 /// Longest wait for open writes before a planned change of primary is confirmed.
 const PLANNED_DRAIN_TIMEOUT: Duration = Duration::from_millis(400);
 
@@ -317,7 +317,7 @@
         .collect()
 }
 
-/// Connects to a control host, and reconnects after `REDIAL_PAUSE` whenever the link
+/// Connects to a control host, and reconnects after `REDIAL_DELAY` whenever the link
 /// fails, until the sender of the queue is dropped because a new link replaces it.
 async fn maintain_link(
     shared: &Rc<EntryShared>,
@@ -339,7 +339,7 @@
             return;
         }
         while queued.try_recv().is_ok() {}
-        sleep(REDIAL_PAUSE).await;
+        sleep(REDIAL_DELAY).await;
     }
 }
 
@@ -351,7 +351,7 @@
     events: &mpsc::UnboundedSender<LinkEvent>,
 ) -> io::Result<()> {
     let (mut reader, mut writer) = dialler.open_link().await?;
-    let hello = LinkFrame::Hello { role: LinkRole::Entry, host: shared.settings.me };
+    let hello = LinkFrame::Hello { role: LinkRole::Entry, host: shared.settings.host };
     writer.send(&hello).await?;
     let _ = events.send(LinkEvent::Opened(host));
     loop {
--- a/crates/daemon/src/entry_role/database_pool.rs
+++ b/crates/daemon/src/entry_role/database_pool.rs
@@ -147,7 +147,7 @@
                 return Ok(self.check_out(Some(link)));
             }
             let may_open = if has_capacity { self.may_open() } else { Err(None) };
-            let waits_until = match may_open {
+            let retry_at = match may_open {
                 Ok(()) => match self.open(shared).await {
                     Ok(link) => return Ok(link),
                     Err(OpenError::Unreachable) => return Err(AcquireError::Unreachable),
@@ -156,7 +156,7 @@
                 },
                 Err(full_until) => full_until,
             };
-            if let Some(link) = self.wait_for_offer(statement, waits_until, deadline).await? {
+            if let Some(link) = self.wait_for_offer(statement, retry_at, deadline).await? {
                 return Ok(link);
             }
         }
@@ -284,7 +284,7 @@
     async fn wait_for_offer(
         self: &Rc<Self>,
         statement: QueuedStatement,
-        until: Option<Instant>,
+        retry_at: Option<Instant>,
         deadline: Instant,
     ) -> Result<Option<PooledLink>, AcquireError> {
         let (offer, offered) = oneshot::channel();
@@ -295,9 +295,9 @@
             let index = state.waiters.partition_point(|w| w.statement.arrived <= statement.arrived);
             state.waiters.insert(index, PoolWaiter { statement, offer });
         }
-        let wakes = async {
-            match until {
-                Some(until) => sleep_until(until).await,
+        let wait_for_retry = async {
+            match retry_at {
+                Some(retry_at) => sleep_until(retry_at).await,
                 None => std::future::pending().await,
             }
         };
@@ -305,7 +305,7 @@
             tokio::select! {
                 biased;
                 offer = offered => offer.ok(),
-                () = wakes => None,
+                () = wait_for_retry => None,
             }
         });
         match outcome.await {
--- a/crates/daemon/src/entry_role/entry_host.rs
+++ b/crates/daemon/src/entry_role/entry_host.rs
@@ -46,7 +46,7 @@
         metrics: HostMetrics,
     ) -> io::Result<Self> {
         let listener = bind_listener(settings.callers)?;
-        let forwards = bind_listener(host_address(settings.me, settings.forward_port))?;
+        let forwards = bind_listener(host_address(settings.host, settings.forward_port))?;
         let (reports, received) = mpsc::unbounded_channel();
         let cancel = CancellationToken::new();
         let shared =
--- a/crates/daemon/src/entry_role/entry_settings.rs
+++ b/crates/daemon/src/entry_role/entry_settings.rs
@@ -8,7 +8,7 @@
     /// Name of the host; databases see it as the name of their client.
     pub name: Arc<str>,
     /// Identifier of this host, from which its address is derived.
-    pub me: HostId,
+    pub host: HostId,
     /// Data centre of the host; reads prefer databases in it.
     pub data_centre: Arc<str>,
     /// Address on which it accepts callers.
--- a/crates/daemon/src/entry_role/entry_shared.rs
+++ b/crates/daemon/src/entry_role/entry_shared.rs
@@ -196,7 +196,7 @@
         let rule = view.routes().and_then(|table| table.service(&record.service));
         let limit = rule.map_or(1, |rule| rule.max_connections).max(1);
         let connections = limit.saturating_sub(RESERVED_CONNECTIONS).max(1);
-        view.path_to(self.settings.me, &record.key.id, connections)
+        view.path_to(self.settings.host, &record.key.id, connections)
     }
 
     /// Updates the share of each pool, closes surplus idle connections and those
--- a/crates/daemon/src/entry_role/forward_task.rs
+++ b/crates/daemon/src/entry_role/forward_task.rs
@@ -32,7 +32,7 @@
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time that sent data may stay unacknowledged before the connection of another
 /// host counts as lost.
-const FORWARD_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+const FORWARD_ACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Urgency of a statement for which the forwarding host sent none.
 const DEFAULT_URGENCY: ForwardUrgency =
@@ -41,7 +41,7 @@
 /// Runs statements that another entry host forwards for a database of which this
 /// host is a gateway.
 pub(super) async fn serve_forwards(shared: Rc<EntryShared>, stream: TcpStream) {
-    if prepare_socket(&stream, FORWARD_SILENCE_TIMEOUT).is_err() {
+    if prepare_socket(&stream, FORWARD_ACK_TIMEOUT).is_err() {
         return;
     }
     let mut lines = LineStream::new(stream);
--- a/crates/daemon/src/entry_role/primary_probe.rs
+++ b/crates/daemon/src/entry_role/primary_probe.rs
@@ -43,7 +43,8 @@
         let began = Instant::now();
         if matches!(timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await, Ok(Ok(_))) {
             report_reachability(shared, service, term_number, true);
-            // If the primary is slow for another reason, a new probe at once is of no use.
+            // A reachable primary is slow for another reason, which another probe at once
+            // would not show.
             return sleep(REPORT_INTERVAL).await;
         }
         failures += 1;
@@ -68,7 +69,13 @@
     term_number: u64,
     reachable: bool,
 ) {
-    tracing::info!(target: "entry", %service, number = term_number, reachable, "primary probed");
+    tracing::info!(
+        target: "entry",
+        %service,
+        number = term_number,
+        reachable,
+        "primary probed; reporting the result to the control leader"
+    );
     let service = service.clone();
     let report = EntryReport::PrimaryReachable { service, number: term_number, reachable };
     // The receiver is dropped only at shutdown.
--- a/crates/daemon/src/entry_role/session_task.rs
+++ b/crates/daemon/src/entry_role/session_task.rs
@@ -21,11 +21,11 @@
 /// Time for which a connect request waits for this host's first configuration.
 const ROUTES_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time that sent data may stay unacknowledged before a caller counts as gone.
-const CALLER_SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
+const CALLER_ACK_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Serves one caller until it disconnects or the host closes its session.
 pub(super) async fn serve_caller(shared: Rc<EntryShared>, stream: TcpStream) {
-    if prepare_socket(&stream, CALLER_SILENCE_TIMEOUT).is_err() {
+    if prepare_socket(&stream, CALLER_ACK_TIMEOUT).is_err() {
         return;
     }
     shared.sessions.set(shared.sessions.get() + 1);
--- a/crates/daemon/src/entry_role/statement_run.rs
+++ b/crates/daemon/src/entry_role/statement_run.rs
@@ -77,7 +77,8 @@
 /// Requirements and time limits of a statement.
 pub(super) struct RunLimits<'a> {
     pub(super) route: &'a RouteRule,
-    /// Earliest time from which this host knows that the caller waits.
+    /// When the statement arrived; for the session's first one at a database, when
+    /// the session was requested.
     pub(super) arrived: Moment,
     pub(super) deadline: Instant,
     pub(super) needs_primary: bool,
@@ -89,8 +90,8 @@
 
 impl RunLimits<'_> {
     /// Time at which waiting for a connection ends. A statement that has waited
-    /// for half of its timeout has been overtaken by newer ones all along; failing
-    /// it now leaves its caller time for another attempt.
+    /// for half of its timeout keeps being overtaken by newer ones; failing it now
+    /// leaves its caller time for another attempt.
     fn connect_deadline(&self) -> Instant {
         self.deadline - self.route.timeout / 2
     }
@@ -234,9 +235,9 @@
     let view = shared.view.borrow();
     let service = &limits.route.service;
     if !limits.needs_primary && limits.route.kind != RouteKind::Primary {
-        let need = view.read_requirement(now, limits.route, limits.last_commit);
+        let requirement = view.read_requirement(now, limits.route, limits.last_commit);
         if let ReadTarget::Replica { record, position } =
-            view.read_target(now, service, need, tried)
+            view.read_target(now, service, requirement, tried)
         {
             return Some((record, None, Some(position)));
         }
--- a/crates/daemon/src/entry_role/upstream_link.rs
+++ b/crates/daemon/src/entry_role/upstream_link.rs
@@ -21,7 +21,7 @@
 /// Timeout for a database to accept a connection, which waits for a slot there.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time that sent data may stay unacknowledged before a connection counts as broken.
-const UPSTREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
+const UPSTREAM_ACK_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Why a connection was not opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -79,18 +79,18 @@
         protocol: &dyn UpstreamProtocol,
         record: &InstanceRecord,
         address: SocketAddr,
-        caller: &str,
+        client: &str,
     ) -> Result<(Self, Option<LogPosition>), OpenError> {
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = connected else {
             return Err(OpenError::Unreachable);
         };
-        prepare_socket(&stream, UPSTREAM_SILENCE_TIMEOUT).map_err(|_| OpenError::Unreachable)?;
+        prepare_socket(&stream, UPSTREAM_ACK_TIMEOUT).map_err(|_| OpenError::Unreachable)?;
         let (lines, state) = (LineStream::new(stream), ConnectionState::default());
         let mut link = Self { lines, state, opened_at: Instant::now() };
         let mut out = Vec::new();
         let open =
-            UpstreamCommand::Open { service: &record.service, caller, instance: &record.key.id };
+            UpstreamCommand::Open { service: &record.service, client, instance: &record.key.id };
         protocol.encode_command(&mut out, open);
         match timeout(OPEN_TIMEOUT, link.complete_open(protocol, &out)).await {
             Ok(Ok(result)) => result.map(|position| (link, position)),
--- a/crates/daemon/src/links/frame_link.rs
+++ b/crates/daemon/src/links/frame_link.rs
@@ -23,10 +23,10 @@
 /// Upper limit of the connect timeout: packets can be queued for about that long
 /// on a saturated link.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time without an acknowledgement after which the connection to a host counts as
-/// dead; below twice the election timeout, so that no host waits for a new leader
+/// Time that sent data may stay unacknowledged before the connection to a host counts
+/// as dead; below twice the election timeout, so that no host waits for a new leader
 /// on a dead connection.
-const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
+const PEER_ACK_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Receives frames from another host.
 #[derive(Debug)]
@@ -80,7 +80,7 @@
 /// # Errors
 /// The system's error if a socket option is refused.
 pub fn frame_connection(stream: TcpStream) -> io::Result<(FrameReader, FrameWriter)> {
-    prepare_socket(&stream, PEER_TIMEOUT)?;
+    prepare_socket(&stream, PEER_ACK_TIMEOUT)?;
     let (read, write) = stream.into_split();
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     Ok((
