--- a/crates/decisions/src/pg_host/control_flow.rs
+++ b/crates/decisions/src/pg_host/control_flow.rs
@@ -143,7 +143,7 @@
         self.update_leader_state(now, &command);
     }
 
-    /// Replaces the whole configuration if the given one is newer.
+    /// Replaces the whole control state if the given one is newer.
     pub(super) fn replace_control_state(&mut self, now: Moment, state: ControlState) {
         self.subscription.last_message_at = now;
         if state.applied > self.control.applied {
@@ -156,7 +156,7 @@
         }
     }
 
-    // Distribution of the configuration to non-voters.
+    // Distribution of the control state to non-voters.
 
     pub(super) fn renew_subscription(&mut self, now: Moment) {
         if self.agreement.is_some()
--- a/crates/decisions/src/pg_host/gateway_flow.rs
+++ b/crates/decisions/src/pg_host/gateway_flow.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Updates this gateway's view of a group from the applied configuration.
+    /// Updates this gateway's view of a group from the applied control state.
     pub(super) fn refresh_group(&mut self, now: Moment, name: &GroupName) {
         let me = self.settings.id();
         let declared = self.control.is_declared(name);
--- a/crates/decisions/src/pg_host/host_settings.rs
+++ b/crates/decisions/src/pg_host/host_settings.rs
@@ -5,7 +5,7 @@
 /// Identity and timing of one host.
 #[derive(Debug, Clone)]
 pub struct HostSettings {
-    /// This host's record in the replicated configuration.
+    /// This host's record in the replicated control state.
     pub record: HostRecord,
     /// Initial control voters of the deployment.
     pub voters: BTreeSet<HostId>,
--- a/crates/decisions/src/pg_host/host_state.rs
+++ b/crates/decisions/src/pg_host/host_state.rs
@@ -52,7 +52,7 @@
     pub(super) request: RequestId,
 }
 
-/// A non-voter's subscription to the configuration, at one of the voters.
+/// A non-voter's subscription to the control state, at one of the voters.
 #[derive(Debug, Default)]
 pub(super) struct Subscription {
     pub(super) voter_rank: usize,
@@ -138,7 +138,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The replicated configuration as applied here.
+    /// The replicated control state as applied here.
     pub fn control(&self) -> &ControlState {
         &self.control
     }
--- a/crates/decisions/src/pg_host/leader_state.rs
+++ b/crates/decisions/src/pg_host/leader_state.rs
@@ -25,7 +25,7 @@
 const PROPOSAL_DEDUP_WINDOW: Duration = Duration::from_millis(500);
 /// Time without a lease after which a gateway is replaced.
 const GATEWAY_REPLACEMENT_DELAY: Duration = Duration::from_secs(3);
-/// Time without a lease after which a host is removed from the configuration.
+/// Time without a lease after which a host is removed from the control state.
 const HOST_RETENTION: Duration = Duration::from_secs(5);
 /// Interval of the periodic check of hosts and gateways.
 const HOST_CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -78,13 +78,15 @@
             host_check_due: now,
             groups_need_check: true,
         });
-        self.effects.push(HostEffect::Log(format!("This host leads control in term {term}.")));
+        let text = format!("This host became control leader in term {term}; it now grants leases.");
+        self.effects.push(HostEffect::Log(text));
     }
 
     pub(super) fn stop_leading(&mut self) {
         self.leader_state = None;
         self.leader = None;
-        self.effects.push(HostEffect::Log("This host no longer leads control.".to_owned()));
+        let text = "This host is no longer control leader; it grants no more leases.";
+        self.effects.push(HostEffect::Log(text.to_owned()));
     }
 
     /// Proposes a command unless an equal one was proposed within the deduplication
--- a/crates/decisions/src/pg_host/peer_message.rs
+++ b/crates/decisions/src/pg_host/peer_message.rs
@@ -83,7 +83,7 @@
         /// Commands in order.
         commands: Vec<ControlCommand>,
     },
-    /// The whole configuration, for a subscriber that lacks more commands than
+    /// The whole control state, for a subscriber that lacks more commands than
     /// are kept.
     State(Box<ControlState>),
     /// To the control leader: a forwarded announcement.
--- a/crates/decisions/src/pg_host/request_flow.rs
+++ b/crates/decisions/src/pg_host/request_flow.rs
@@ -459,7 +459,7 @@
         Some(record)
     }
 
-    /// Removes a request and returns its result.
+    /// Removes a request and emits its result as `HostEffect::Complete`.
     pub(super) fn complete_request(
         &mut self,
         _now: Moment,
