--- a/crates/decisions/src/control_role/mod.rs
+++ b/crates/decisions/src/control_role/mod.rs
@@ -1,6 +1,7 @@
 //! State of a control host, in a deployment whose hosts find each other by
 //! seeds: orders of operators, announcements of databases, leases of entry
-//! hosts and changes of primary.
+//! hosts and changes of primary. In this module, the configuration is the
+//! operators' [`RouteTable`](crate::routes::RouteTable).
 
 mod control_event;
 mod control_host_state;
--- a/crates/decisions/src/control_role/term_flow.rs
+++ b/crates/decisions/src/control_role/term_flow.rs
@@ -111,8 +111,8 @@
         commands
     }
 
-    /// Returns whether the change is planned if the term should end, else
-    /// `None`.
+    /// Decides whether a term must end: `Some(true)` for a planned change,
+    /// `Some(false)` after a failure, `None` if the term continues.
     fn check_term_end(&self, now: Moment, term: &ServiceTerm) -> Option<bool> {
         let leader_state = self.leader_state.as_ref()?;
         let steady_since = match leader_state.steady_since.get(&term.service) {
--- a/crates/decisions/src/instances/instance_directory.rs
+++ b/crates/decisions/src/instances/instance_directory.rs
@@ -28,6 +28,7 @@
 #[derive(Debug, Default)]
 pub struct InstanceDirectory {
     instances: BTreeMap<Arc<str>, KnownInstance>,
+    /// Latest start of each id that announced its departure, as `born_ms`.
     departed: BTreeMap<Arc<str>, u64>,
 }
 
--- a/crates/decisions/src/instances/mod.rs
+++ b/crates/decisions/src/instances/mod.rs
@@ -1,4 +1,7 @@
 //! Directory of databases, which announce themselves by id and start.
+//!
+//! An instance is one database in `hawthornstack-platform`. In the declarations of
+//! `hawthornstackd`, an instance of a service is a whole group of databases.
 
 mod instance_directory;
 mod instance_record;
--- a/crates/decisions/src/primaries/service_term.rs
+++ b/crates/decisions/src/primaries/service_term.rs
@@ -11,7 +11,8 @@
     Steady,
     /// No host may use the primary; a successor is being selected.
     Fencing {
-        /// True if the change was requested: the primary is reachable.
+        /// The change is planned, as the primary drains and is still reachable;
+        /// false after a failure.
         planned: bool,
     },
     /// The successor is chosen and is being promoted.
