--- a/crates/decisions/src/directory/announcement.rs
+++ b/crates/decisions/src/directory/announcement.rs
@@ -5,7 +5,7 @@
 use super::DatabaseRole;
 use crate::identity::{DataCentre, DatabaseName, GroupName};
 
-/// Description of an upstream, which it sends to any daemon about once a second.
+/// Description of an upstream, which it sends to any host about once a second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// Unique name of the database.
--- a/crates/decisions/src/entry_role/entry_view.rs
+++ b/crates/decisions/src/entry_role/entry_view.rs
@@ -169,8 +169,8 @@
         self.gateway_candidates = hosts;
     }
 
-    /// How host `me` reaches a database to which all hosts together may open
-    /// `connections` connections.
+    /// How host `me` reaches the database with id `instance`, to which all hosts
+    /// together may open `connections` connections.
     ///
     /// If there are too few connections to give every host as many as a gateway
     /// needs, or more hosts than a database should accept handshakes from, some
@@ -218,7 +218,7 @@
         self.prune_loads();
     }
 
-    /// Index in control's log up to which the state is applied here.
+    /// Index of the control log up to which the state is applied here.
     pub fn applied(&self) -> u64 {
         self.applied
     }
@@ -258,12 +258,12 @@
         self.terms.get(service)
     }
 
-    /// The database with this key, if that is still its latest incarnation.
+    /// The database with this key, if that is still its newest start.
     pub fn instance(&self, key: &InstanceKey) -> Option<&InstanceRecord> {
         self.directory.get_by_key(key)
     }
 
-    /// The latest incarnation of the database with this id.
+    /// The newest start of the database with this id.
     pub fn instance_by_id(&self, id: &str) -> Option<&InstanceRecord> {
         self.directory.get(id)
     }
--- a/crates/decisions/src/entry_role/session_state.rs
+++ b/crates/decisions/src/entry_role/session_state.rs
@@ -7,7 +7,7 @@
 pub struct PreparedStatement {
     /// Whether it may change data.
     pub writes: bool,
-    /// Its text.
+    /// Its text, called the shape in the line protocol of the databases.
     pub shape: Arc<str>,
 }
 
--- a/crates/decisions/src/identity/names.rs
+++ b/crates/decisions/src/identity/names.rs
@@ -94,6 +94,6 @@
     DataCentre
 }
 checked_name! {
-    /// Identifier of a caller's session, chosen by the caller or by the proxy.
+    /// Identifier of a caller's session, chosen by the caller or by the host.
     SessionId
 }
--- a/crates/decisions/src/requests/request_arrival.rs
+++ b/crates/decisions/src/requests/request_arrival.rs
@@ -23,7 +23,7 @@
 pub enum PositionSource {
     /// The caller's connection or token holds it.
     Known(LogPosition),
-    /// Other proxies may serve the same session, so its position hosts are asked.
+    /// Other hosts may serve the same session, so its position hosts are asked.
     /// The position is at least the one given.
     PositionHosts(LogPosition),
 }
--- a/crates/decisions/tests/control_world/mod.rs
+++ b/crates/decisions/tests/control_world/mod.rs
@@ -149,12 +149,12 @@
         self.hosts.get(&id)?.host.as_ref()
     }
 
-    /// The confirmed leader, if there is one.
+    /// The current leader, if there is one.
     pub fn leader(&self) -> Option<HostId> {
         self.leaders().next()
     }
 
-    /// All confirmed leaders; more than one is a fault.
+    /// All hosts that claim to be the current leader; more than one is a fault.
     pub fn leaders(&self) -> impl Iterator<Item = HostId> + '_ {
         let leads =
             |id: &HostId| self.host(*id).is_some_and(|host| host.is_current_leader(self.now));
