--- a/crates/lab/src/cluster/lab_cluster.rs
+++ b/crates/lab/src/cluster/lab_cluster.rs
@@ -1,17 +1,14 @@
 use std::{
     collections::BTreeMap,
     net::SocketAddr,
-    path::PathBuf,
+    path::{Path, PathBuf},
     sync::{Arc, atomic::AtomicBool},
     time::Duration,
 };
 
-use hawthornstack_daemon::{
-    kernel::DaemonKernel,
-    settings::{
-        ControlSettings, DaemonSettings, FailoverSettings, GroupSettings, HostIdentity,
-        ListenSettings, LogSettings, SessionSettings, VoterAddress,
-    },
+use hawthornstack_daemon::settings::{
+    ControlSettings, DaemonSettings, FailoverSettings, GroupSettings, HostIdentity, ListenSettings,
+    LogSettings, SessionSettings, VoterAddress,
 };
 use hawthornstack_decisions::{
     control_state::{Declaration, Intent, ServiceDeclaration},
@@ -23,7 +20,8 @@
 
 use super::{
     ClusterError, OperatorClient,
-    cluster_error::{DaemonSnafu, SystemSnafu, UpstreamSnafu},
+    cluster_error::{SystemSnafu, UpstreamSnafu},
+    running_daemon::RunningDaemon,
 };
 use crate::{
     deployments::{Deployment, DeploymentName},
@@ -59,7 +57,7 @@
 
 struct LabDaemon {
     settings: DaemonSettings,
-    kernel: Option<DaemonKernel>,
+    running: Option<RunningDaemon>,
 }
 
 /// A running cluster; it is stopped and its directory removed when it is dropped.
@@ -94,8 +92,8 @@
         let mut cluster =
             Self { plan, groups, daemons: Vec::new(), directory, cancel: CancellationToken::new() };
         for settings in settings {
-            let kernel = Some(DaemonKernel::start(&settings).await.context(DaemonSnafu)?);
-            cluster.daemons.push(LabDaemon { settings, kernel });
+            let running = Some(RunningDaemon::start(&settings).await?);
+            cluster.daemons.push(LabDaemon { settings, running });
         }
         cluster.announce_all();
         cluster.operator().execute_intent(Intent::Declare(cluster.declaration())).await?;
@@ -171,7 +169,7 @@
 
     async fn all_daemons_serve(&self) -> bool {
         let gateways = self.plan.gateways_per_group.min(self.plan.daemons as usize);
-        for daemon in self.daemons.iter().filter(|daemon| daemon.kernel.is_some()) {
+        for daemon in self.daemons.iter().filter(|daemon| daemon.running.is_some()) {
             let Some(status) = OperatorClient::status(daemon.settings.listen.operators).await
             else {
                 return false;
@@ -192,15 +190,15 @@
 
     /// Shuts a daemon down gracefully.
     pub async fn shut_down(&mut self, index: usize) {
-        if let Some(kernel) = self.daemons[index].kernel.take() {
-            kernel.shut_down().await;
+        if let Some(daemon) = self.daemons[index].running.take() {
+            daemon.shut_down().await;
         }
     }
 
     /// Stops a daemon without a graceful shutdown.
     pub fn kill(&mut self, index: usize) {
-        if let Some(kernel) = self.daemons[index].kernel.take() {
-            kernel.kill();
+        if let Some(daemon) = self.daemons[index].running.take() {
+            daemon.kill();
         }
     }
 
@@ -211,26 +209,40 @@
     pub async fn restart(&mut self, index: usize) -> Result<(), ClusterError> {
         let daemon = &mut self.daemons[index];
         for _ in 0..50 {
-            match DaemonKernel::start(&daemon.settings).await {
-                Ok(kernel) => {
-                    daemon.kernel = Some(kernel);
+            match RunningDaemon::start(&daemon.settings).await {
+                Ok(running) => {
+                    daemon.running = Some(running);
                     return Ok(());
                 }
                 // The listening ports of the stopped daemon may not be released yet.
                 Err(_) => sleep(Duration::from_millis(20)).await,
             }
         }
-        daemon.kernel = Some(DaemonKernel::start(&daemon.settings).await.context(DaemonSnafu)?);
+        daemon.running = Some(RunningDaemon::start(&daemon.settings).await?);
         Ok(())
     }
+
+    /// Restarts a stopped daemon with its data directory as `program`, another build's
+    /// `hawthornstackd`.
+    ///
+    /// # Errors
+    /// `ClusterError` if the program does not run, or the cluster does not serve with
+    /// it in time.
+    pub async fn restart_as(&mut self, index: usize, program: &Path) -> Result<(), ClusterError> {
+        let daemon = &mut self.daemons[index];
+        let settings_path = self.directory.join(format!("{}.yaml", daemon.settings.host.id));
+        let running = RunningDaemon::start_program(program, &daemon.settings, &settings_path)?;
+        daemon.running = Some(running);
+        self.wait_until_serving().await
+    }
 }
 
 impl Drop for LabCluster {
     fn drop(&mut self) {
         self.cancel.cancel();
         for daemon in &mut self.daemons {
-            if let Some(kernel) = daemon.kernel.take() {
-                kernel.kill();
+            if let Some(daemon) = daemon.running.take() {
+                daemon.kill();
             }
         }
         let _ = std::fs::remove_dir_all(&self.directory);
--- a/crates/lab/src/cluster/mod.rs
+++ b/crates/lab/src/cluster/mod.rs
@@ -4,6 +4,7 @@
 mod lab_caller;
 mod lab_cluster;
 mod operator_client;
+mod running_daemon;
 
 pub use cluster_error::ClusterError;
 pub(crate) use cluster_error::{SystemSnafu, UpstreamSnafu};
--- a/crates/lab/src/demo/demo_run.rs
+++ b/crates/lab/src/demo/demo_run.rs
@@ -1,4 +1,5 @@
 use std::{
+    path::PathBuf,
     sync::{Arc, Mutex, PoisonError, atomic::Ordering},
     time::Duration,
 };
@@ -39,6 +40,9 @@
     pub length: Duration,
     /// Print progress to standard error.
     pub verbose: bool,
+    /// `hawthornstackd` of another build. Daemon h2 runs as it from the start on and
+    /// returns to this build at the end; h3 runs as it after its drain.
+    pub other_build: Option<PathBuf>,
 }
 
 type SharedHistory = Arc<Mutex<Vec<RecordedOperation>>>;
@@ -73,7 +77,12 @@
         "Starting 3 daemons and {} groups of {} databases ...",
         plan.deployment.instances, plan.deployment.databases
     ));
-    let cluster = LabCluster::start(cluster_plan).await?;
+    let mut cluster = LabCluster::start(cluster_plan).await?;
+    if let Some(program) = &plan.other_build {
+        print_progress(format!("Daemon h2 restarts as {} ...", program.display()));
+        cluster.shut_down(1).await;
+        cluster.restart_as(1, program).await?;
+    }
     for group in 0..cluster.groups.len() {
         create_schema(&cluster, group).await?;
     }
@@ -134,8 +143,13 @@
         let drained_until = self.started_at.elapsed();
         self.print_progress("Daemon h3 has stopped.");
         self.sleep_until_share(0.85).await;
-        self.cluster.restart(2).await?;
+        self.restart_h3().await?;
         self.print_progress("Daemon h3 is back.");
+        if self.plan.other_build.is_some() {
+            self.cluster.shut_down(1).await;
+            self.cluster.restart(1).await?;
+            self.print_progress("Daemon h2 is back as this build.");
+        }
 
         self.sleep_until_share(1.0).await;
         cancel.cancel();
@@ -147,6 +161,13 @@
         self.build_report(failed_at, drained_from, drained_until)
     }
 
+    async fn restart_h3(&mut self) -> Result<(), ClusterError> {
+        match &self.plan.other_build {
+            Some(program) => self.cluster.restart_as(2, program).await,
+            None => self.cluster.restart(2).await,
+        }
+    }
+
     fn start_callers(&self, cancel: &CancellationToken) -> Vec<tokio::task::JoinHandle<()>> {
         let groups = self.cluster.groups.len() as u32;
         (0..groups * CALLERS_PER_GROUP)
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -57,6 +57,9 @@
     /// log level of the daemons (default warn)
     #[argh(option, default = "String::from(\"warn\")")]
     logs: String,
+    /// hawthornstackd of another build, to run beside this one and on its data
+    #[argh(option)]
+    other_build: Option<std::path::PathBuf>,
 }
 
 /// Fail primaries under load; one JSON line a fault, then a summary.
@@ -173,6 +176,7 @@
         seed: command.seed,
         length: Duration::from_secs(command.seconds),
         verbose: !command.json,
+        other_build: command.other_build.clone(),
     };
     let report = match run_demo(plan).await {
         Ok(report) => report,
