--- a/crates/lab/src/cluster/lab_cluster.rs
+++ b/crates/lab/src/cluster/lab_cluster.rs
@@ -222,18 +222,24 @@
         Ok(())
     }
 
-    /// Restarts a stopped daemon with its data directory as `program`, another build's
-    /// `hawthornstackd`.
+    /// Restarts a stopped daemon with its data directory, as `other_build`, another
+    /// build's `hawthornstackd`, if one is given.
     ///
     /// # Errors
-    /// `ClusterError` if the program does not run, or the cluster does not serve with
-    /// it in time.
-    pub async fn restart_as(&mut self, index: usize, program: &Path) -> Result<(), ClusterError> {
+    /// `ClusterError` if it does not start.
+    pub async fn restart_with(
+        &mut self,
+        index: usize,
+        other_build: Option<&Path>,
+    ) -> Result<(), ClusterError> {
+        let Some(program) = other_build else {
+            return self.restart(index).await;
+        };
         let daemon = &mut self.daemons[index];
         let settings_path = self.directory.join(format!("{}.yaml", daemon.settings.host.id));
         let running = RunningDaemon::start_program(program, &daemon.settings, &settings_path)?;
         daemon.running = Some(running);
-        self.wait_until_serving().await
+        Ok(())
     }
 }
 
--- a/crates/lab/src/demo/demo_run.rs
+++ b/crates/lab/src/demo/demo_run.rs
@@ -81,7 +81,8 @@
     if let Some(program) = &plan.other_build {
         print_progress(format!("Daemon h2 restarts as {} ...", program.display()));
         cluster.shut_down(1).await;
-        cluster.restart_as(1, program).await?;
+        cluster.restart_with(1, Some(program)).await?;
+        cluster.wait_until_serving().await?;
     }
     for group in 0..cluster.groups.len() {
         create_schema(&cluster, group).await?;
@@ -143,9 +144,11 @@
         let drained_until = self.started_at.elapsed();
         self.print_progress("Daemon h3 has stopped.");
         self.sleep_until_share(0.85).await;
-        self.restart_h3().await?;
+        self.cluster.restart_with(2, self.plan.other_build.as_deref()).await?;
         self.print_progress("Daemon h3 is back.");
         if self.plan.other_build.is_some() {
+            // With h2 and h3 down at once, control would lose its quorum.
+            self.cluster.wait_until_serving().await?;
             self.cluster.shut_down(1).await;
             self.cluster.restart(1).await?;
             self.print_progress("Daemon h2 is back as this build.");
@@ -161,13 +164,6 @@
         self.build_report(failed_at, drained_from, drained_until)
     }
 
-    async fn restart_h3(&mut self) -> Result<(), ClusterError> {
-        match &self.plan.other_build {
-            Some(program) => self.cluster.restart_as(2, program).await,
-            None => self.cluster.restart(2).await,
-        }
-    }
-
     fn start_callers(&self, cancel: &CancellationToken) -> Vec<tokio::task::JoinHandle<()>> {
         let groups = self.cluster.groups.len() as u32;
         (0..groups * CALLERS_PER_GROUP)
